--- a/decisions/src/main/java/pearladder/delivery/DeliveryRules.java
+++ b/decisions/src/main/java/pearladder/delivery/DeliveryRules.java
@@ -3,16 +3,16 @@
 import pearladder.routing.api.MonotonicTime;
 import pearladder.routing.api.RoutingSettings.Idempotency;
 
-/** The rules of delivery, each as one question. */
+/** Decides whether an attempt, an answer, a load request or the closing of a connection is allowed. */
 public final class DeliveryRules {
     /**
-     * What the rules ask of a request.
+     * State of a request that the rules decide by.
      *
-     * @param completed whether its client has the final answer or has gone
-     * @param deadlineAt the client waits no longer than this
-     * @param attempts so far, those under way included
-     * @param possiblyExecuted whether one of them may have been executed or still may be
-     * @param idempotency of its request class
+     * @param completed whether the client has received the final answer or has disconnected
+     * @param deadlineAt time until which the client waits for an answer
+     * @param attempts number of attempts started, including those in flight
+     * @param possiblyExecuted whether an attempt may have been executed or may still be executed
+     * @param idempotency idempotency of the request class
      */
     public record RequestState(
             boolean completed,
@@ -23,14 +23,14 @@
 
     private final int maxAttempts;
 
-    /** @param maxAttempts of one request, at least one */
+    /** @param maxAttempts maximum number of attempts of one request, at least 1 */
     public DeliveryRules(int maxAttempts) {
         this.maxAttempts = maxAttempts;
     }
 
-    /** Whether an attempt of a request, the first or a further one, may be started. */
+    /** Decides whether an attempt of a request, the first one or a retry, may be started. */
     public Verdict onAttempt(RequestState request, MonotonicTime now) {
-        Verdict verdict = onOpenRequest(request, now);
+        Verdict verdict = checkOpenRequest(request, now);
         if (!verdict.isAllowed()) {
             return verdict;
         }
@@ -41,42 +41,42 @@
     }
 
     /**
-     * Whether the first byte of an attempt that was started may be written to its worker.
+     * Decides whether the first byte of a started attempt may be written to its worker.
      *
-     * @param sendBefore the worker is known to be in service up to then; null where nothing bounds it
+     * @param sendBefore time until which the worker is known to be in service; null for no limit
      */
     public Verdict onWrite(RequestState request, MonotonicTime sendBefore, MonotonicTime now) {
-        Verdict verdict = onOpenRequest(request, now);
-        return verdict.isAllowed() ? onSend(sendBefore, now) : verdict;
+        Verdict verdict = checkOpenRequest(request, now);
+        return verdict.isAllowed() ? checkSend(sendBefore, now) : verdict;
     }
 
-    /** Whether new work may be written to a worker that is known to be in service up to a moment, or null. */
-    private static Verdict onSend(MonotonicTime sendBefore, MonotonicTime now) {
+    /** Decides whether new work may be written to a worker that is known to be in service until {@code sendBefore}. */
+    private static Verdict checkSend(MonotonicTime sendBefore, MonotonicTime now) {
         return sendBefore == null || now.isBefore(sendBefore) ? Verdict.ALLOWED : Verdict.WORKER_NOT_CONFIRMED;
     }
 
-    private static Verdict onOpenRequest(RequestState request, MonotonicTime now) {
+    private static Verdict checkOpenRequest(RequestState request, MonotonicTime now) {
         if (request.completed()) {
             return Verdict.REQUEST_COMPLETED;
         }
         return now.isBefore(request.deadlineAt()) ? Verdict.ALLOWED : Verdict.DEADLINE_PASSED;
     }
 
-    /** Whether a final answer may be sent; a second one never may. */
+    /** Decides whether the final answer may be sent; no request gets a second one. */
     public Verdict onAnswer(RequestState request) {
         return request.completed() ? Verdict.REQUEST_COMPLETED : Verdict.ALLOWED;
     }
 
     /**
-     * Whether a load request may be sent to a worker.
+     * Decides whether a load request may be sent to a worker.
      *
-     * @param sendBefore the worker is known to be in service up to then; null where nothing bounds it
+     * @param sendBefore time until which the worker is known to be in service; null for no limit
      */
     public Verdict onLoadRequest(boolean workerInService, MonotonicTime sendBefore, MonotonicTime now) {
-        return workerInService ? onSend(sendBefore, now) : Verdict.WORKER_NOT_IN_SERVICE;
+        return workerInService ? checkSend(sendBefore, now) : Verdict.WORKER_NOT_IN_SERVICE;
     }
 
-    /** Whether the router may close a client's connection, or end; unanswered requests are to be answered first. */
+    /** Decides whether a client's connection may be closed or the router may exit: only without unanswered requests. */
     public Verdict onClose(int unansweredRequests) {
         return unansweredRequests == 0 ? Verdict.ALLOWED : Verdict.UNANSWERED_REQUESTS;
     }
--- a/decisions/src/main/java/pearladder/delivery/Verdict.java
+++ b/decisions/src/main/java/pearladder/delivery/Verdict.java
@@ -1,15 +1,15 @@
 package pearladder.delivery;
 
-/** Whether something may be done now, and if not, why. */
+/** Result of a delivery rule: allowed, or the reason for the refusal. */
 public enum Verdict {
     ALLOWED("allowed"),
-    REQUEST_COMPLETED("its request has its final answer, or its client has gone"),
-    DEADLINE_PASSED("its deadline has passed"),
+    REQUEST_COMPLETED("the request is already answered or its client has disconnected"),
+    DEADLINE_PASSED("the deadline has passed"),
     MAY_HAVE_BEEN_EXECUTED("an earlier attempt may have been executed and must not be repeated"),
-    TOO_MANY_ATTEMPTS("its request has had all its attempts"),
-    WORKER_NOT_IN_SERVICE("its worker is not in service"),
-    WORKER_NOT_CONFIRMED("its worker has not been known to be in service for too long"),
-    UNANSWERED_REQUESTS("requests on it are not answered yet");
+    TOO_MANY_ATTEMPTS("the maximum number of attempts has been reached"),
+    WORKER_NOT_IN_SERVICE("the worker is not in service"),
+    WORKER_NOT_CONFIRMED("the worker has not been confirmed to be in service recently enough"),
+    UNANSWERED_REQUESTS("there are unanswered requests");
 
     private final String reason;
 
@@ -17,12 +17,12 @@
         this.reason = reason;
     }
 
-    /** Whether it may be done. */
+    /** Returns whether the action is allowed. */
     public boolean isAllowed() {
         return this == ALLOWED;
     }
 
-    /** Why it may not be done, as a part of a sentence. */
+    /** Returns the reason for the refusal, as a clause for a log line. */
     public String reason() {
         return reason;
     }
--- a/decisions/src/test/java/pearladder/delivery/DeliveryRulesTest.java
+++ b/decisions/src/test/java/pearladder/delivery/DeliveryRulesTest.java
@@ -9,7 +9,7 @@
 import pearladder.routing.api.MonotonicTime;
 import pearladder.routing.api.RoutingSettings.Idempotency;
 
-/** Each rule of delivery by its cases. */
+/** Cases of each delivery rule. */
 class DeliveryRulesTest {
     private static final MonotonicTime DEADLINE = new MonotonicTime(1000);
 
@@ -45,7 +45,7 @@
         "false, 500, 500, WORKER_NOT_CONFIRMED",
         "false, 2000, 1000, DEADLINE_PASSED"
     })
-    void firstByteIsWrittenOnlyForAnOpenRequestInItsTimeToAWorkerKnownToBeInService(
+    void firstByteIsWrittenOnlyForAnOpenRequestBeforeItsDeadlineToAWorkerKnownToBeInService(
             boolean completed, Long sendBefore, long now, Verdict expected) {
         RequestState request = request(completed, 1, true, Idempotency.BINDING);
         assertEquals(expected, rules.onWrite(request, time(sendBefore), new MonotonicTime(now)));
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void nothingIsClosedThatOwesAnAnswer() {
+    void connectionWithUnansweredRequestsIsNotClosed() {
         assertEquals(Verdict.ALLOWED, rules.onClose(0));
         assertEquals(Verdict.UNANSWERED_REQUESTS, rules.onClose(1));
     }
