--- a/decisions/src/main/java/pearladder/connections/ClientConnectionState.java
+++ b/decisions/src/main/java/pearladder/connections/ClientConnectionState.java
@@ -13,7 +13,7 @@
     public MonotonicTime lastMessageAt;
     /** When the first byte of a message that is still incomplete was received; null while there is no such message. */
     public MonotonicTime partialMessageSince;
-    /** Since when the client has not read what was sent to it; null while it reads. */
+    /** Time since which the client has not read what was sent to it; null while it reads. */
     public MonotonicTime notReadingSince;
     /** Number of messages received that could not be used. */
     public int unusableMessages;
--- a/decisions/src/main/java/pearladder/connections/ConnectionAction.java
+++ b/decisions/src/main/java/pearladder/connections/ConnectionAction.java
@@ -1,11 +1,11 @@
 package pearladder.connections;
 
-/** What the owner of the sockets has to do with a connection. */
+/** An action that the owner of the sockets has to execute on a connection. */
 public sealed interface ConnectionAction {
     /**
      * Close this client connection.
      *
-     * @param reason why, in a few words, for the log
+     * @param reason short reason for the log
      */
     record CloseClientConnection(ClientConnectionState connection, String reason) implements ConnectionAction {}
 
--- a/decisions/src/main/java/pearladder/connections/ConnectionEvent.java
+++ b/decisions/src/main/java/pearladder/connections/ConnectionEvent.java
@@ -2,7 +2,7 @@
 
 import java.util.Collection;
 
-/** What happened to the connections of a router. */
+/** An event that concerns the connections of a router. */
 public sealed interface ConnectionEvent {
     /** A client connection was accepted. */
     record ClientConnected(ClientConnectionState connection) implements ConnectionEvent {}
@@ -14,7 +14,7 @@
      * A command is to be sent to a worker.
      *
      * @param connections all connections to that worker, in their present state
-     * @param avoided connections that must not be used, as an earlier attempt of the request was sent on them
+     * @param avoided connections that must not be used, because an earlier attempt of the request was sent on them
      */
     record WorkerConnectionRequested(
             String worker, Collection<WorkerConnectionState> connections, Collection<WorkerConnectionState> avoided)
@@ -23,6 +23,6 @@
     /** A worker connection was closed or could not be opened. */
     record WorkerConnectionReleased(WorkerConnectionState connection) implements ConnectionEvent {}
 
-    /** Time has passed; reported a few times a second. */
+    /** Periodic check of time limits; reported a few times a second. */
     record Tick() implements ConnectionEvent {}
 }
--- a/decisions/src/main/java/pearladder/connections/ConnectionManager.java
+++ b/decisions/src/main/java/pearladder/connections/ConnectionManager.java
@@ -17,13 +17,13 @@
     /**
      * Limits on the number of connections and on how long an unused one is kept.
      *
-     * @param maxClientConnections client connections open at a time, at most
-     * @param maxWorkerConnections worker connections open at a time, to all workers together, at most
-     * @param maxInFlight commands in flight on one worker connection, at most
+     * @param maxClientConnections maximum number of open client connections
+     * @param maxWorkerConnections maximum number of open worker connections, to all workers together
+     * @param maxInFlight maximum number of commands in flight on one worker connection
      * @param clientTimeout longest time a client may take to send its first message, to complete a message, or to read
      *     what was sent to it
-     * @param workerIdleTimeout an unused worker connection is closed after so long, before the worker closes it in the
-     *     middle of a send
+     * @param workerIdleTimeout time after which an unused worker connection is closed, before the worker closes it in
+     *     the middle of a send
      */
     public record ConnectionLimits(
             int maxClientConnections,
@@ -31,9 +31,9 @@
             int maxInFlight,
             TimeSpan clientTimeout,
             TimeSpan workerIdleTimeout) {
-        /** One descriptor in so many is kept free for connections that were just accepted or are being closed. */
+        /** One in this many descriptors is kept free for connections that were just accepted or are being closed. */
         private static final int RESERVE_DIVISOR = 8;
-        /** Fewest connections that clients and workers get each, however low the limit of the process is. */
+        /** Minimum number of connections for clients and for workers each, even if the process's limit is lower. */
         private static final int MIN_CONNECTIONS = 16;
 
         private static final TimeSpan CLIENT_TIMEOUT = TimeSpan.millis(2000);
@@ -41,27 +41,27 @@
         private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
         /**
-         * Divides the descriptors that are left in halves, one for clients and one for workers.
+         * Divides the available descriptors equally between clients and workers.
          *
-         * @param descriptorLimit file descriptors that the process may open
-         * @param ownDescriptors file descriptors that the process needs for other things
-         * @param maxInFlight commands in flight on one worker connection, at most
+         * @param descriptorLimit maximum number of file descriptors of the process
+         * @param ownDescriptors number of file descriptors that the process needs for other purposes
+         * @param maxInFlight maximum number of commands in flight on one worker connection
          * @param workerIdleTimeout time after which workers close an unused connection
          */
         public static ConnectionLimits of(
                 int descriptorLimit, int ownDescriptors, int maxInFlight, TimeSpan workerIdleTimeout) {
-            int free =
+            int available =
                     Math.max(2 * MIN_CONNECTIONS, descriptorLimit - ownDescriptors - descriptorLimit / RESERVE_DIVISOR);
             return new ConnectionLimits(
-                    free / 2,
-                    free - free / 2,
+                    available / 2,
+                    available - available / 2,
                     maxInFlight,
                     CLIENT_TIMEOUT,
                     workerIdleTimeout.times(IDLE_TIMEOUT_FRACTION));
         }
     }
 
-    /** Number of unusable messages at which their client is disconnected. */
+    /** Number of unusable messages at which a client is disconnected. */
     private static final int MAX_UNUSABLE_MESSAGES = 16;
 
     private final ConnectionLimits limits;
@@ -70,15 +70,15 @@
     /** In the order in which they were opened. */
     private final Set<WorkerConnectionState> workerConnections = new LinkedHashSet<>();
 
-    /** Creates a manager of no connections. */
+    /** Creates a manager without connections. */
     public ConnectionManager(ConnectionLimits limits) {
         this.limits = limits;
     }
 
     /**
-     * Takes in what happened.
+     * Handles an event.
      *
-     * @return what is to be done, in this order; empty where a command has to wait as no connection can take it
+     * @return the actions to execute, in this order; empty if a command has to wait because no connection can take it
      */
     public List<ConnectionAction> on(MonotonicTime now, ConnectionEvent event) {
         List<ConnectionAction> actions = new ArrayList<>();
@@ -115,20 +115,20 @@
     private void onClientConnected(ClientConnectionState connection, List<ConnectionAction> actions) {
         clientConnections.add(connection);
         if (clientConnections.size() > limits.maxClientConnections()) {
-            closeClient(leastValuable(connection), "too many connections", actions);
+            closeClient(selectClientToClose(connection), "too many connections", actions);
         }
     }
 
-    /** Why a client connection must be closed; null while it may stay. */
+    /** Returns why a client connection must be closed; null if it may stay open. */
     private String closeReason(MonotonicTime now, ClientConnectionState connection) {
         if (connection.lastMessageAt == null && isTimedOut(now, connection.connectedAt)) {
             return "no complete message received";
         }
         if (isTimedOut(now, connection.partialMessageSince)) {
-            return "a message stays incomplete";
+            return "a message was not completed in time";
         }
         if (isTimedOut(now, connection.notReadingSince)) {
-            return "responses are not read";
+            return "responses were not read in time";
         }
         if (connection.unusableMessages >= MAX_UNUSABLE_MESSAGES) {
             return "too many unusable messages";
@@ -136,16 +136,16 @@
         return null;
     }
 
-    /** Whether the client timeout has passed since a time; false where the time is null. */
+    /** Returns whether the client timeout has passed since the given time; false if that time is null. */
     private boolean isTimedOut(MonotonicTime now, MonotonicTime since) {
         return since != null && now.since(since).isLongerThan(limits.clientTimeout());
     }
 
     /**
-     * The connection to close over the limit: the oldest one that never sent anything; else the least recently used one
-     * without open requests; else the newest.
+     * Returns the connection to close when the limit is exceeded: the oldest one that never sent anything; otherwise
+     * the least recently used one without open requests; otherwise the newest.
      */
-    private ClientConnectionState leastValuable(ClientConnectionState newest) {
+    private ClientConnectionState selectClientToClose(ClientConnectionState newest) {
         ClientConnectionState leastRecentlyUsed = null;
         for (ClientConnectionState connection : clientConnections) {
             if (connection.lastMessageAt == null && connection != newest) {
@@ -168,24 +168,24 @@
 
     // ---- workers
 
-    /** Uses a free connection; else opens one, closing an unused one where the limit is reached; else shares one. */
+    /** Uses an unused connection; otherwise opens one, closing an unused one at the limit; otherwise shares one. */
     private void onWorkerConnectionRequested(
             MonotonicTime now, ConnectionEvent.WorkerConnectionRequested requested, List<ConnectionAction> actions) {
-        WorkerConnectionState free = null;
+        WorkerConnectionState unused = null;
         WorkerConnectionState shareable = null;
         for (WorkerConnectionState connection : requested.connections()) {
             if (!isUsable(connection, requested)) {
                 continue;
             }
-            if (isUnused(connection) && (free == null || free.lastUsedAt.isBefore(connection.lastUsedAt))) {
-                free = connection;
+            if (isUnused(connection) && (unused == null || unused.lastUsedAt.isBefore(connection.lastUsedAt))) {
+                unused = connection;
             } else if (connection.inFlight < limits.maxInFlight()
                     && (shareable == null || connection.inFlight < shareable.inFlight)) {
                 shareable = connection;
             }
         }
-        if (free != null) {
-            actions.add(new ConnectionAction.UseWorkerConnection(free));
+        if (unused != null) {
+            actions.add(new ConnectionAction.UseWorkerConnection(unused));
         } else if (makeRoom(requested.connections(), shareable != null, actions)) {
             WorkerConnectionState opened = new WorkerConnectionState(requested.worker(), now);
             workerConnections.add(opened);
@@ -202,14 +202,14 @@
     }
 
     /**
-     * Whether closing the connection would give its descriptor back. One that is still being opened stays until it is
-     * established or has failed.
+     * Returns whether closing the connection would release its descriptor. A connection that is still being opened
+     * stays until it is established or has failed.
      */
     private static boolean isUnused(WorkerConnectionState connection) {
         return connection.established && connection.inFlight == 0;
     }
 
-    /** Whether one more worker connection may be opened, after closing an unused one where the limit is reached. */
+    /** Returns whether one more worker connection may be opened; at the limit, closes an unused one for it. */
     private boolean makeRoom(
             Collection<WorkerConnectionState> ownConnections, boolean ownOnly, List<ConnectionAction> actions) {
         if (workerConnections.size() < limits.maxWorkerConnections()) {
@@ -224,9 +224,9 @@
     }
 
     /**
-     * The unused worker connection that was unused for longest, or null where there is none.
+     * Returns the worker connection that has been unused for the longest time, or null if there is none.
      *
-     * @param ownOnly whether only connections to the same worker may be taken, as one of those can be shared
+     * @param ownOnly whether only connections to the same worker may be closed, because one of those can be shared
      */
     private WorkerConnectionState leastRecentlyUsed(Collection<WorkerConnectionState> ownConnections, boolean ownOnly) {
         WorkerConnectionState leastRecentlyUsed = null;
--- a/decisions/src/main/java/pearladder/connections/InputTurn.java
+++ b/decisions/src/main/java/pearladder/connections/InputTurn.java
@@ -4,24 +4,24 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Decides how much client input an event loop handles before it lets timers, workers and other clients have their
- * turn. Deadlines run as timers on the same loop: without a bound, each of them waits until everything that clients
- * sent at once is handled.
+ * Limits how much client input an event loop handles in one turn, before timers, workers and other clients are served.
+ * Deadlines are timers on the same loop: without a limit, each of them would wait until all input that clients sent at
+ * once is handled.
  */
 public final class InputTurn {
     /** A tenth of the 50 ms by which the platform allows a timer to be late. */
     private static final TimeSpan MAX_DURATION = TimeSpan.millis(5);
-    /** A turn is over so long after its begin, once the timers that are due have run: the shortest timer. */
+    /** Delay of the timer that ends a turn; the shortest one, so that a turn ends once the due timers have run. */
     public static final TimeSpan PAUSE = TimeSpan.millis(1);
 
     private MonotonicTime startedAt;
 
-    /** Whether a turn has begun and has not ended. */
+    /** Returns whether a turn has started and has not ended. */
     public boolean isActive() {
         return startedAt != null;
     }
 
-    /** Begins a turn. */
+    /** Starts a turn. */
     public void start(MonotonicTime now) {
         startedAt = now;
     }
@@ -31,7 +31,7 @@
         startedAt = null;
     }
 
-    /** Whether no further input may be handled until the next turn. */
+    /** Returns whether no further input may be handled until the next turn. */
     public boolean isExhausted(MonotonicTime now) {
         return startedAt != null && now.since(startedAt).compareTo(MAX_DURATION) >= 0;
     }
--- a/decisions/src/main/java/pearladder/connections/WorkerConnectionState.java
+++ b/decisions/src/main/java/pearladder/connections/WorkerConnectionState.java
@@ -15,10 +15,10 @@
     public int inFlight;
     /** Whether a command timed out on the connection and nothing has been received since. */
     public boolean suspect;
-    /** When the connection was last written to or last received something; when it was opened before that. */
+    /** Time of the last write or receipt on the connection; before the first one, the time of its opening. */
     public MonotonicTime lastUsedAt;
 
-    /** Creates the state of a connection to the worker that is being opened since the given time. */
+    /** Creates the state of a connection to the worker whose opening started at the given time. */
     public WorkerConnectionState(String worker, MonotonicTime openedAt) {
         this.worker = worker;
         this.lastUsedAt = openedAt;
--- a/decisions/src/test/java/pearladder/connections/ConnectionManagerTest.java
+++ b/decisions/src/test/java/pearladder/connections/ConnectionManagerTest.java
@@ -68,7 +68,7 @@
         CloseClientConnection next = (CloseClientConnection)
                 on(new ConnectionEvent.ClientConnected(newest)).get(0);
         assertNotSame(working, next.connection());
-        assertNotSame(idle, next.connection(), "the one accepted before has sent nothing either");
+        assertNotSame(idle, next.connection(), "the client accepted before has sent nothing either");
     }
 
     @Test
--- a/decisions/src/test/java/pearladder/connections/GracefulShutdownTest.java
+++ b/decisions/src/test/java/pearladder/connections/GracefulShutdownTest.java
@@ -53,7 +53,7 @@
         assertEquals(Step.REJECT, stepAt(TimeSpan.seconds(4), 740, SIGNALLED_AT.plus(TimeSpan.millis(691)), NOTHING));
     }
 
-    /** The kill comes after the longest deadline, counted as three seconds where it is longer, and 0.7 s. */
+    /** The platform kills the process 0.7 s after the longest deadline, which is capped at 3 s. */
     @ParameterizedTest
     @CsvSource({"4000, 3700", "3000, 3700", "1000, 1700", "150, 850"})
     void failsOpenRequestsAndExitsBeforeTheProcessIsKilled(long longestDeadlineMillis, long killedAtMillis) {
@@ -64,9 +64,9 @@
         assertEquals(Step.EXIT, stepAt(longest, killedAtMillis - 50, null, everything));
     }
 
-    /** What came while the process stood still is not read yet. */
+    /** Input that arrived while the process was stalled has not been read yet at the first call after the stall. */
     @Test
-    void doesNotExitAtTheFirstLookAfterAStall() {
+    void doesNotExitAtTheFirstCallAfterAStall() {
         GracefulShutdown shutdown = new GracefulShutdown(SIGNALLED_AT, TimeSpan.seconds(3));
         MonotonicTime beforeTheStall = SIGNALLED_AT.plus(TimeSpan.millis(690));
         assertEquals(Step.SERVE, shutdown.on(beforeTheStall, null, NOTHING));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void failsWhatCameInAStallBeforeItExitsForWantOfTime() {
+    void failsRequestsReceivedDuringAStallBeforeExitingOutOfTime() {
         OutstandingWork everything = new OutstandingWork(3, 100, 2);
         GracefulShutdown shutdown = new GracefulShutdown(SIGNALLED_AT, TimeSpan.seconds(3));
         assertEquals(Step.REJECT, shutdown.on(SIGNALLED_AT.plus(TimeSpan.millis(3500)), null, everything));
