--- a/decisions/src/main/java/pearladder/rollout/ModelRollout.java
+++ b/decisions/src/main/java/pearladder/rollout/ModelRollout.java
@@ -14,11 +14,11 @@
     MonotonicTime stepStartedAt;
     /** Whether the gate found the new version worse. */
     boolean isBroken;
-    /** Part of the model's load that ready instances of the new version can carry, 0 to 1. */
+    /** Fraction of the model's load that ready instances of the new version can carry, 0 to 1. */
     double readyShare;
 
     VersionComparison comparison;
-    /** Whether the instances of the next step were asked for. */
+    /** Whether the instances of the next step were requested. */
     boolean isNextStepPrepared;
     /** Whether instances of both versions are kept loaded for this rollout. */
     boolean keepsInstances;
@@ -27,7 +27,7 @@
         return target.plan();
     }
 
-    /** Share of the routing keys that get the new version now, 0 to 1. */
+    /** Returns the share of the routing keys that get the new version now, 0 to 1. */
     double share() {
         boolean isRolledBack =
                 target.mode() == Mode.ROLLED_BACK || isBroken && plan().onBreach() == RolloutPlan.Breach.ROLL_BACK;
@@ -42,14 +42,17 @@
         return step == plan().steps().size() - 1;
     }
 
-    /** Whether this router may take further steps by itself. */
+    /** Returns whether this router may take further steps by itself. */
     boolean canAdvance() {
         return target.mode() == Mode.RUNNING
                 && !isBroken
                 && step < plan().steps().size() - 1;
     }
 
-    /** Whether the next step may be taken now: it is ordered, or held long enough and found no worse. */
+    /**
+     * Returns whether the next step may be taken now: it is ordered, or the present step was held long enough and the
+     * new version was found no worse; and instances for the next share are ready.
+     */
     boolean isNextStepDue(MonotonicTime now) {
         boolean isOrdered = step < target.step();
         boolean mayLeaveStep = step < 0 || isOrdered || isHeld(now) && isFoundNoWorse();
@@ -64,8 +67,8 @@
         return comparison.newRequests() >= plan().leastCalls() && comparison.isFoundNoWorse();
     }
 
-    /** Whether all keys have the new version and the hold is over, so that the old instances may go. */
-    boolean isOver(MonotonicTime now) {
+    /** Returns whether all keys have the new version and the hold is over: the old instances may be released. */
+    boolean isComplete(MonotonicTime now) {
         return keepsInstances && target.mode() == Mode.RUNNING && isAtLastStep() && isHeld(now);
     }
 
@@ -73,7 +76,7 @@
         return new RolloutProgress(plan().model(), target.epoch(), step, isBroken);
     }
 
-    /** One line for operators. */
+    /** Returns one line for operators. */
     String status() {
         return String.format(
                 "%s %s -> %s: epoch %d, %s, share %.2f, copies for %.2f, %s",
--- a/decisions/src/main/java/pearladder/rollout/RolloutController.java
+++ b/decisions/src/main/java/pearladder/rollout/RolloutController.java
@@ -10,22 +10,22 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * All rollouts of one router. Its one entry point is {@link #on}: an event goes in, actions come out.
+ * Controls all rollouts of one router. Every event is passed to {@link #on}, which returns the actions to execute.
  *
- * <p>A routing key has a position from 0 to 1, a hash of model and key and so the same at every router. At a share s
- * the keys below s get the new version: a step only adds keys and a rollback takes all of them back. A request keeps
- * the version that it was first given; so does an idempotency key while workers remember it, so that a client's retry
- * meets the version of the first attempt.
+ * <p>A routing key has a position from 0 to 1, a hash of model and key that is the same at every router. At a share s
+ * the keys below s get the new version: a step only adds keys, and a rollback returns all keys to the old version. A
+ * request keeps the version that it was first assigned; so does an idempotency key while workers remember it, so that a
+ * client's retry is routed to the version of the first attempt.
  *
- * <p>A router takes the next step by itself when the present one was held long enough, enough requests ended, the gate
- * finds the version no worse, and instances for the next share are ready. It pauses or rolls back by itself when the
- * gate finds the version worse. A target with a higher epoch overrides both.
+ * <p>A router takes the next step by itself when the present one was held long enough, enough requests were completed,
+ * the gate finds the version no worse, and instances for the next share are ready. It pauses or rolls back by itself
+ * when the gate finds the version worse. A target with a higher epoch overrides both.
  */
 public final class RolloutController {
-    /** Time between two checks whether a step may be taken; short against the least sensible hold, a second. */
-    private static final TimeSpan TICK = TimeSpan.millis(250);
+    /** Interval between checks whether a step may be taken; short compared with the shortest sensible hold, 1 s. */
+    private static final TimeSpan TICK_INTERVAL = TimeSpan.millis(250);
 
-    /** @param epoch of the target that the request was routed by */
+    /** @param epoch epoch of the target by which the request was routed */
     private record Assignment(ModelRollout rollout, long epoch, boolean isNewVersion) {}
 
     private final Map<String, ModelRollout> rollouts = new LinkedHashMap<>();
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Takes in what happened.
+     * Handles an event.
      *
-     * @return what is to be done, in this order
+     * @return the actions to execute, in this order
      */
     public List<RolloutAction> on(MonotonicTime eventTime, RolloutEvent event) {
         now = eventTime;
@@ -78,12 +78,12 @@
         }
     }
 
-    /** One line about each rollout, for operators. */
+    /** Returns one line about each rollout, for operators. */
     public List<String> status() {
         return rollouts.values().stream().map(ModelRollout::status).toList();
     }
 
-    /** The newest target of each model; a compacted journal needs no others. */
+    /** Returns the newest target of each model; a compacted journal needs no others. */
     public List<RolloutTarget> targets() {
         return rollouts.values().stream().map(rollout -> rollout.target).toList();
     }
@@ -93,7 +93,7 @@
                 || rollouts.values().stream().anyMatch(rollout -> rollout.canAdvance() || rollout.keepsInstances);
         if (isTickNeeded && !isTickScheduled) {
             isTickScheduled = true;
-            actions.add(new RolloutAction.ScheduleTick(TICK));
+            actions.add(new RolloutAction.ScheduleTick(TICK_INTERVAL));
         }
     }
 
@@ -110,14 +110,14 @@
         String version =
                 position < rollout.share() ? newVersion : rollout.plan().from();
         if (!received.idempotencyKey().isEmpty()) {
-            version = keyVersions.rememberedOr(version, received.model(), received.idempotencyKey(), now);
+            version = keyVersions.getOrRemember(version, received.model(), received.idempotencyKey(), now);
         }
         openRequests.put(
                 received.requestId(), new Assignment(rollout, rollout.target.epoch(), version.equals(newVersion)));
         actions.add(new RolloutAction.UseVersion(received.requestId(), version));
     }
 
-    /** A request that was routed by an earlier target says nothing about the present one. */
+    /** Ignores requests that were routed by an earlier target: their results do not apply to the present one. */
     private void onRequestCompleted(RolloutEvent.RequestCompleted completed) {
         Assignment assignment = openRequests.remove(completed.requestId());
         if (assignment == null
@@ -142,7 +142,7 @@
         RolloutPlan plan = rollout.plan();
         boolean isRolledBack = plan.onBreach() == RolloutPlan.Breach.ROLL_BACK;
         log(
-                "%s %s at %s: %s",
+                "%s the rollout of %s to %s: %s",
                 isRolledBack ? "rolled back" : "paused",
                 plan.model(),
                 ModelRollout.displayName(plan.to()),
@@ -157,7 +157,7 @@
     private void onTargetOrdered(RolloutTarget target) {
         ModelRollout rollout = rollouts.get(target.plan().model());
         if (rollout != null && rollout.target.equals(target)) {
-            // Sent again because the answer was lost, or received by two ways.
+            // Repeated because the answer was lost, or received from two senders.
             actions.add(new RolloutAction.PersistTarget(target));
             return;
         }
@@ -179,7 +179,7 @@
         }
     }
 
-    /** Targets of two operators may be on their way to the journal at once: the one that was written first holds. */
+    /** Targets of two operators may be written to the journal concurrently: the one written first takes effect. */
     private void onTargetPersisted(RolloutTarget target) {
         ModelRollout rollout = rollouts.get(target.plan().model());
         if (isNewer(target, rollout)) {
@@ -189,12 +189,12 @@
         }
     }
 
-    /** @param rollout of the same model, or null where there is none yet */
+    /** @param rollout rollout of the same model, or null if there is none yet */
     private static boolean isNewer(RolloutTarget target, ModelRollout rollout) {
         return rollout == null || target.epoch() > rollout.target.epoch();
     }
 
-    /** Why a target can't be followed; null where it can. */
+    /** Returns why a target is invalid; null if it is valid. */
     private static String findFault(RolloutTarget target) {
         List<RolloutPlan.Fault> faults = target.plan().faults();
         if (!faults.isEmpty()) {
@@ -215,9 +215,9 @@
     }
 
     /**
-     * Targets from the journal hold without being written again; of two of a model the one with the higher epoch. A
-     * step that was reached is resumed at once, since keys never move back, and a version found worse stays rolled
-     * back.
+     * Targets from the journal take effect without being written again; of two for one model, the one with the higher
+     * epoch. A step that was reached is resumed at once, since keys never move back, and a version found worse stays
+     * rolled back.
      */
     private void onJournalRestored(RolloutEvent.JournalRestored restored) {
         Map<String, RolloutTarget> newest = new LinkedHashMap<>();
@@ -232,7 +232,7 @@
         }
     }
 
-    /** @param progress of the same model, or null */
+    /** @param progress progress of the same model, or null if there is none */
     private void resume(RolloutTarget target, RolloutProgress progress) {
         boolean isOfTarget = progress != null && progress.epoch() == target.epoch();
         if (!isOfTarget || target.mode() == Mode.ROLLED_BACK) {
@@ -244,7 +244,7 @@
         follow(target, reachedStep, progress.broken());
     }
 
-    /** Progress under the higher epoch; under the same epoch what either of both reached or found. */
+    /** Returns the progress of the higher epoch; for equal epochs the higher step, and broken if either one is. */
     private static RolloutProgress combine(RolloutProgress a, RolloutProgress b) {
         if (a.epoch() != b.epoch()) {
             return a.epoch() > b.epoch() ? a : b;
@@ -253,16 +253,16 @@
     }
 
     /**
-     * Makes a target the one that holds for its model. The first step, too, waits until instances are ready; a step
-     * that was reached is only left by a rollback.
+     * Makes a target the current one of its model. The first step, too, waits until instances are ready; a step that
+     * was reached is only left by a rollback.
      *
      * @param reachedStep step that this router was at under the same target before a restart
      */
     private void follow(RolloutTarget target, int reachedStep, boolean isBroken) {
         RolloutPlan plan = target.plan();
-        ModelRollout before = rollouts.get(plan.model());
-        boolean isSamePlan = before != null && before.plan().equals(plan);
-        ModelRollout rollout = isSamePlan ? before : new ModelRollout();
+        ModelRollout previous = rollouts.get(plan.model());
+        boolean isSamePlan = previous != null && previous.plan().equals(plan);
+        ModelRollout rollout = isSamePlan ? previous : new ModelRollout();
         rollout.target = target;
         rollout.isBroken = isBroken;
         rollout.comparison = isSamePlan ? rollout.comparison.restarted() : new VersionComparison(plan.gate());
@@ -276,7 +276,7 @@
             actions.add(new RolloutAction.ReleaseInstances(plan.model(), plan.to()));
         }
         log(
-                "release of %s at %s: epoch %d, %s, by %s",
+                "rollout of %s to %s: epoch %d, %s, ordered by %s",
                 plan.model(),
                 ModelRollout.displayName(plan.to()),
                 target.epoch(),
@@ -313,9 +313,9 @@
         keyVersions.removeExpired(now);
     }
 
-    /** Asks for the instances of the next step, and takes it once all that it needs is there. */
+    /** Requests the instances of the next step, and takes the step once its conditions are met. */
     private void advance(ModelRollout rollout) {
-        if (rollout.isOver(now)) {
+        if (rollout.isComplete(now)) {
             rollout.keepsInstances = false;
             RolloutPlan plan = rollout.plan();
             actions.add(new RolloutAction.ReleaseInstances(plan.model(), plan.from()));
@@ -333,7 +333,7 @@
         }
     }
 
-    /** The old version's instances are kept until the rollout is over, so that a rollback finds them loaded. */
+    /** Keeps the old version's instances, too, until the rollout is complete, so that a rollback finds them loaded. */
     private void prepareNextStep(ModelRollout rollout) {
         RolloutPlan plan = rollout.plan();
         rollout.isNextStepPrepared = true;
@@ -348,7 +348,7 @@
         rollout.isNextStepPrepared = false;
         recordProgress(rollout);
         log(
-                "%s at %s: share %.2f, copies for %.2f, %s",
+                "rollout of %s to %s: share %.2f, instances ready for %.2f, %s",
                 rollout.plan().model(),
                 ModelRollout.displayName(rollout.plan().to()),
                 rollout.share(),
--- a/decisions/src/main/java/pearladder/rollout/RolloutPlan.java
+++ b/decisions/src/main/java/pearladder/rollout/RolloutPlan.java
@@ -5,14 +5,14 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * How one model moves from a version to another. Read and written as JSON by component name.
+ * Plan for moving one model from one version to another. Read and written as JSON by component name.
  *
  * @param model name of the model
- * @param from version that serves now; empty for the model without a version
- * @param to the new version
- * @param steps shares of the routing keys that get the new version, rising, the last of them 1
- * @param hold least time that each step lasts
- * @param leastCalls requests of the new version that must have ended within a step
+ * @param from old version; empty for the model without a version
+ * @param to new version
+ * @param steps increasing shares of the routing keys that get the new version, the last of them 1
+ * @param hold minimum duration of each step
+ * @param leastCalls minimum number of requests to the new version that must be completed within a step
  */
 public record RolloutPlan(
         String model,
@@ -23,15 +23,15 @@
         long leastCalls,
         Gate gate,
         Breach onBreach) {
-    /** A test with a chance of error from here on decides no better than a coin. */
-    private static final double MAX_ERROR_CHANCE = 0.5;
+    /** A test with an error probability of this or more decides no better than chance. */
+    private static final double ERROR_PROBABILITY_BOUND = 0.5;
 
     /**
-     * When the new version counts as worse.
+     * Criteria by which the new version counts as worse.
      *
      * @param excess how much larger its share of bad results may be than that of the old version, 0 to 1
-     * @param wrongly accepted chance of taking back a version that is no worse, 0 to 0.5
-     * @param missed accepted chance of taking a step with a version that is worse by the excess, 0 to 0.5
+     * @param wrongly accepted probability of finding a version worse that is not, 0 to 0.5
+     * @param missed accepted probability of taking a step with a version that is worse by the excess, 0 to 0.5
      */
     public record Gate(double excess, double wrongly, double missed) {}
 
@@ -44,15 +44,15 @@
     }
 
     /**
-     * One fault of a plan.
+     * An invalid value in a plan.
      *
-     * @param key component of the plan, with a dot before that of the gate
+     * @param key component of the plan; that of the gate is prefixed with {@code gate.}
      * @param problem what is wrong
      * @param remedy how to correct it
      */
     public record Fault(String key, String problem, String remedy) {}
 
-    /** All faults of the plan; empty if it can be followed. */
+    /** Returns all faults of the plan; empty if it is valid. */
     public List<Fault> faults() {
         List<Fault> faults = new ArrayList<>();
         if (from.equals(to)) {
@@ -90,7 +90,7 @@
             faults.add(new Fault("gate.excess", gate.excess() + " is no excess", "write a share from above 0 to 1"));
         }
         for (double chance : new double[] {gate.wrongly(), gate.missed()}) {
-            if (chance <= 0 || chance >= MAX_ERROR_CHANCE) {
+            if (chance <= 0 || chance >= ERROR_PROBABILITY_BOUND) {
                 faults.add(new Fault("gate", "a chance of " + chance + " says nothing", "write one between 0 and 0.5"));
             }
         }
--- a/decisions/src/main/java/pearladder/rollout/RolloutTarget.java
+++ b/decisions/src/main/java/pearladder/rollout/RolloutTarget.java
@@ -1,19 +1,19 @@
 package pearladder.rollout;
 
 /**
- * What operators want of one model's rollout. It is complete in itself, so that a router needs only the newest one.
- * Of two targets the one with the higher epoch holds, in whatever order they arrive and whatever the clocks say. Read
- * and written as JSON by component name.
+ * Desired state of one model's rollout, ordered by an operator. It is self-contained, so that a router needs only the
+ * newest one. Of two targets the one with the higher epoch takes precedence, regardless of the order of arrival and of
+ * clocks. Read and written as JSON by component name.
  *
- * @param epoch one more than that of the target which the operator had seen
- * @param step least step to be at, from 0; a router may go further by itself
- * @param by who ordered it
- * @param wallMillis when it was ordered by the operator's clock, milliseconds since 1970; for the history only
+ * @param epoch one more than the epoch of the target that the operator last saw
+ * @param step index of the minimum step, from 0; a router may take further steps by itself
+ * @param by name of the operator who ordered it
+ * @param wallMillis time of the order by the operator's clock, milliseconds since 1970; used only in the history
  */
 public record RolloutTarget(long epoch, RolloutPlan plan, Mode mode, int step, String by, long wallMillis) {
-    /** What operators want the rollout to do. */
+    /** Desired mode of a rollout. */
     public enum Mode {
-        /** Go on step by step. */
+        /** Advance step by step. */
         RUNNING,
         /** Stay at the present step. */
         PAUSED,
@@ -21,7 +21,7 @@
         ROLLED_BACK
     }
 
-    /** The one of two targets of a model that holds; {@code a} where both have the same epoch. */
+    /** Returns which of two targets of a model takes precedence; {@code a} if both have the same epoch. */
     public static RolloutTarget newer(RolloutTarget a, RolloutTarget b) {
         return b.epoch() > a.epoch() ? b : a;
     }
--- a/decisions/src/main/java/pearladder/rollout/RoutingKeyPosition.java
+++ b/decisions/src/main/java/pearladder/rollout/RoutingKeyPosition.java
@@ -4,8 +4,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Maps routing keys evenly onto 0 to 1. The position depends on model and key alone, so every router finds the same
- * one; a key has another position for another model.
+ * Maps routing keys uniformly onto the range from 0 to 1. The position depends on model and key alone, so every router
+ * computes the same one; a key has a different position for each model.
  */
 final class RoutingKeyPosition {
     /** Weyl increment of SplitMix64 (Steele, Lea, Flood, OOPSLA 2014). */
@@ -19,7 +19,7 @@
 
     private RoutingKeyPosition() {}
 
-    /** The position of a key, from 0 inclusive to 1 exclusive. */
+    /** Returns the position of a key, from 0 inclusive to 1 exclusive. */
     static double of(String model, String routingKey) {
         CRC32 crc = new CRC32();
         crc.update((model + "\n" + routingKey).getBytes(StandardCharsets.UTF_8));
--- a/decisions/src/test/java/pearladder/rollout/RolloutControllerRandomizedTest.java
+++ b/decisions/src/test/java/pearladder/rollout/RolloutControllerRandomizedTest.java
@@ -16,7 +16,7 @@
 import pearladder.routing.api.TimeSpan;
 
 class RolloutControllerRandomizedTest extends RolloutTestBase {
-    /** Whatever is lost, duplicated, out of order or restarted: every router follows the newest target in the end. */
+    /** Targets are lost, duplicated and reordered, and routers restart: every router ends with the newest target. */
     @Test
     void everyRouterEndsWithTheNewestTarget() {
         for (int seed = 0; seed < 200; seed++) {
@@ -44,24 +44,24 @@
         return targets;
     }
 
-    /** A router that receives the targets in turn and is restarted now and then, with its journal out of order. */
+    /** Passes the targets in turn to a router that is restarted at random, with its journal in random order. */
     private RolloutController followAll(List<RolloutTarget> received, SplittableRandom random, int seed) {
         List<RolloutTarget> journal = new ArrayList<>();
         RolloutController router = newController();
         for (RolloutTarget target : received) {
             only(order(router, now, target), RolloutAction.PersistTarget.class)
-                    .forEach(keep -> journal.add(keep.target()));
+                    .forEach(persist -> journal.add(persist.target()));
             if (random.nextInt(6) == 0) {
                 router = newController();
-                List<RolloutTarget> read = new ArrayList<>(journal);
-                Collections.shuffle(read, new Random(seed));
-                router.on(now, new RolloutEvent.JournalRestored(read, List.of()));
+                List<RolloutTarget> shuffled = new ArrayList<>(journal);
+                Collections.shuffle(shuffled, new Random(seed));
+                router.on(now, new RolloutEvent.JournalRestored(shuffled, List.of()));
             }
         }
         return router;
     }
 
-    /** Random targets, results and instances: one version a request, and keys move back only by a rollback. */
+    /** Random targets, results and instances: each request gets one version, and keys move back only by a rollback. */
     @Test
     void movesKeysBackOnlyByARollback() {
         for (int seed = 0; seed < 60; seed++) {
--- a/decisions/src/test/java/pearladder/rollout/RolloutControllerTargetsTest.java
+++ b/decisions/src/test/java/pearladder/rollout/RolloutControllerTargetsTest.java
@@ -12,7 +12,7 @@
 import pearladder.rollout.RolloutTarget.Mode;
 import pearladder.routing.api.TimeSpan;
 
-/** Targets of operators, of other routers and of the journal. */
+/** Targets from operators, from other routers and from the journal. */
 class RolloutControllerTargetsTest extends RolloutTestBase {
     private List<RolloutAction.RejectTarget> rejections(RolloutEvent event) {
         return only(on(event), RolloutAction.RejectTarget.class);
@@ -27,7 +27,7 @@
         assertTrue(
                 second.get(0).reason().contains("ordered by ops"), second.get(0).reason());
         List<RolloutAction.PersistTarget> same = only(order(1, Mode.RUNNING, 0), RolloutAction.PersistTarget.class);
-        assertEquals(1, same.size(), "the same target again is no other");
+        assertEquals(1, same.size(), "the same target is accepted again");
     }
 
     @Test
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void followsOfTwoTargetsThatAreBeingKeptTheOneKeptFirst() {
+    void followsTheTargetThatWasPersistedFirstOfTwoWithTheSameEpoch() {
         RolloutTarget one = target(1, PLAN, Mode.RUNNING, 0);
         RolloutTarget two = new RolloutTarget(1, PLAN, Mode.PAUSED, 0, "other", 0);
         assertEquals(
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void keepsTheTargetOfAnotherRouterOnlyIfItIsNewerAndValid() {
+    void persistsTheTargetOfAnotherRouterOnlyIfItIsNewerAndValid() {
         order(2, Mode.PAUSED, 0);
         assertEquals(List.of(), on(new RolloutEvent.TargetReceived(target(1, PLAN, Mode.RUNNING, 0))));
         assertEquals(List.of(), on(new RolloutEvent.TargetReceived(target(2, PLAN, Mode.RUNNING, 0))));
@@ -85,9 +85,9 @@
         assertEquals(List.of(newer), controller.targets());
     }
 
-    /** Found when routers were killed amid a rollout: one that came back gave every key back to the old version. */
+    /** Guards against a router that, killed during a rollout and restarted, gives every key back to the old version. */
     @Test
-    void goesOnAtTheReachedStepAfterARestart() {
+    void resumesAtTheReachedStepAfterARestart() {
         RolloutController before = newController();
         List<RolloutProgress> journal = new ArrayList<>();
         collect(order(before, now, target(1, PLAN, Mode.RUNNING, 1)), journal);
@@ -106,7 +106,7 @@
     }
 
     private static void collect(List<RolloutAction> actions, List<RolloutProgress> journal) {
-        only(actions, RolloutAction.PersistProgress.class).forEach(note -> journal.add(note.progress()));
+        only(actions, RolloutAction.PersistProgress.class).forEach(persist -> journal.add(persist.progress()));
     }
 
     @Test
--- a/decisions/src/test/java/pearladder/rollout/RolloutControllerTest.java
+++ b/decisions/src/test/java/pearladder/rollout/RolloutControllerTest.java
@@ -28,22 +28,23 @@
                         new RolloutAction.LoadInstances("pair", "2", "1", 0.05),
                         new RolloutAction.LoadInstances("pair", "1", "1", 1)),
                 only(actions, RolloutAction.LoadInstances.class));
-        assertEquals(Set.of(), keysOnNewVersion(), "before its instances are ready nobody gets it");
+        assertEquals(Set.of(), keysOnNewVersion(), "no key gets the new version before its instances are ready");
         instancesReady(0.05);
-        Set<String> few = keysOnNewVersion();
-        assertTrue(few.size() > 70 && few.size() < 130, "a twentieth of 2000: " + few.size());
+        Set<String> first = keysOnNewVersion();
+        assertTrue(first.size() > 70 && first.size() < 130, "a twentieth of 2000: " + first.size());
         order(2, Mode.RUNNING, 1);
-        assertEquals(few, keysOnNewVersion());
+        assertEquals(first, keysOnNewVersion());
         instancesReady(0.3);
-        Set<String> more = keysOnNewVersion();
+        Set<String> second = keysOnNewVersion();
         assertTrue(
-                more.containsAll(few) && more.size() > 430 && more.size() < 570, "a quarter of 2000: " + more.size());
+                second.containsAll(first) && second.size() > 430 && second.size() < 570,
+                "a quarter of 2000: " + second.size());
         order(3, Mode.ROLLED_BACK, 0);
         assertEquals(Set.of(), keysOnNewVersion());
     }
 
     @Test
-    void holdsAStepForItsTimeItsRequestsAndItsGate() {
+    void takesTheNextStepOnlyAfterTheHoldEnoughRequestsAndAPassedGate() {
         SplittableRandom random = new SplittableRandom(1);
         order(1, Mode.RUNNING, 0);
         instancesReady(1);
@@ -55,7 +56,7 @@
         assertStatusContains("share 0.25");
         completeRequests(2000, 0.01, 0.01, random);
         tick();
-        assertTrue(status().contains("share 0.25"), "it was not held long enough");
+        assertTrue(status().contains("share 0.25"), "the step was not held long enough");
         advance(TimeSpan.seconds(11));
         tick();
         assertStatusContains("share 1.00");
@@ -68,20 +69,20 @@
     void rollsBackAVersionThatFailsEveryRequestWithinAFewRequests() {
         order(1, Mode.RUNNING, 0);
         instancesReady(1);
-        int failed = failRequestsOfNewVersionUntilWithdrawn(50);
-        assertTrue(failed >= 2 && failed <= 12, "bad requests it took: " + failed);
+        int failed = failRequestsOfNewVersionUntilRolledBack(50);
+        assertTrue(failed >= 2 && failed <= 12, "bad requests before the rollback: " + failed);
         assertEquals(Set.of(), keysOnNewVersion());
         instancesReady(1);
         advance(TimeSpan.seconds(100));
         tick();
-        assertEquals(Set.of(), keysOnNewVersion(), "it does not begin again by itself");
+        assertEquals(Set.of(), keysOnNewVersion(), "the rollout does not restart by itself");
         order(2, Mode.RUNNING, 0);
-        assertFalse(keysOnNewVersion().isEmpty(), "an operator's target begins it again");
+        assertFalse(keysOnNewVersion().isEmpty(), "an operator's target restarts the rollout");
     }
 
-    private int failRequestsOfNewVersionUntilWithdrawn(int most) {
+    private int failRequestsOfNewVersionUntilRolledBack(int maxRequests) {
         int failed = 0;
-        while (status().contains("share 0.05") && failed < most) {
+        while (status().contains("share 0.05") && failed < maxRequests) {
             String requestId = nextRequestId();
             if (!version(requestId, requestId, "").equals("2")) {
                 on(new RolloutEvent.RequestCompleted(requestId, true, List.of("e0")));
@@ -113,24 +114,24 @@
     void keepsTheVersionOfAnIdempotencyKeyThroughARollbackWhileItIsRemembered() {
         order(1, Mode.RUNNING, 1);
         instancesReady(1);
-        Map<String, String> first = new HashMap<>();
+        Map<String, String> firstVersions = new HashMap<>();
         for (int i = 0; i < 200; i++) {
-            first.put("m" + i, version("key-" + i, "m" + i));
+            firstVersions.put("m" + i, version("key-" + i, "m" + i));
         }
-        assertTrue(first.containsValue("1") && first.containsValue("2"));
+        assertTrue(firstVersions.containsValue("1") && firstVersions.containsValue("2"));
         order(2, Mode.ROLLED_BACK, 0);
         advance(TimeSpan.seconds(7));
         tick();
-        first.forEach((key, version) -> assertEquals(version, version("key-" + key.substring(1), key)));
+        firstVersions.forEach((key, version) -> assertEquals(version, version("key-" + key.substring(1), key)));
         advance(TimeSpan.seconds(2));
         tick();
         assertEquals("1", version("key-1", "m1"));
-        assertTrue(first.keySet().stream()
+        assertTrue(firstVersions.keySet().stream()
                 .allMatch(key -> version("key-" + key.substring(1), key).equals("1")));
     }
 
     @Test
-    void staysAtItsStepWhilePausedAndGoesOnWhenRunning() {
+    void staysAtItsStepWhilePausedAndAdvancesWhenRunning() {
         SplittableRandom random = new SplittableRandom(4);
         order(1, Mode.RUNNING, 0);
         instancesReady(1);
--- a/decisions/src/test/java/pearladder/rollout/RolloutTestBase.java
+++ b/decisions/src/test/java/pearladder/rollout/RolloutTestBase.java
@@ -75,7 +75,7 @@
         return uses.get(0).version();
     }
 
-    /** Those of 2000 routing keys that get version 2 now. */
+    /** Returns those of 2000 routing keys that get version 2 now. */
     Set<String> keysOnNewVersion() {
         Set<String> keys = new HashSet<>();
         for (int i = 0; i < 2000; i++) {
--- a/decisions/src/test/java/pearladder/rollout/VersionComparisonTest.java
+++ b/decisions/src/test/java/pearladder/rollout/VersionComparisonTest.java
@@ -10,14 +10,14 @@
 class VersionComparisonTest {
     private static final RolloutPlan.Gate GATE = new RolloutPlan.Gate(0.05, 0.01, 0.05);
 
-    /** Found in a scenario with failing workers: a good version with one instance there was rolled back. */
+    /** Guards against the rollback of a good version because its one instance runs on a failing worker. */
     @Test
     void findsAVersionWorseOnlyWhenItFailsOnMoreThanOneWorker() {
         VersionComparison comparison = new VersionComparison(GATE);
         for (int i = 0; i < 400; i++) {
             comparison.onOldVersionResult(true);
             if (i % 10 == 0) {
-                comparison.onNewVersionResult(false, List.of("sick"));
+                comparison.onNewVersionResult(false, List.of("faulty"));
             }
         }
         assertFalse(comparison.isFoundWorse(), comparison.figures());
