--- a/decisions/src/main/java/pearladder/recovery/SnapshotValidator.java
+++ b/decisions/src/main/java/pearladder/recovery/SnapshotValidator.java
@@ -6,26 +6,26 @@
 import pearladder.routing.state.PolicySnapshot;
 
 /**
- * Finds values in a snapshot that no policy ever has. A snapshot with one of them was written by another program or by
+ * Finds values in a snapshot that no policy ever has. A snapshot with such a value was written by another program or by
  * a faulty one, and no part of it is used.
  */
 final class SnapshotValidator {
-    /** Most instances of one function on one worker. */
+    /** Maximum number of instances of one function on one worker. */
     private static final int MAX_INSTANCES = 64;
-    /** Longest remaining ejection of a worker. */
+    /** Longest remaining ejection time of a worker. */
     private static final TimeSpan MAX_EJECTION = TimeSpan.seconds(3600);
     /** Every sum, count and size is below this; NaN and infinity fail the same comparison. */
-    private static final double FIGURE_BOUND = 1e12;
+    private static final double VALUE_BOUND = 1e12;
 
     private SnapshotValidator() {}
 
-    /** Names the first invalid part of a snapshot; null where all of it is valid. */
+    /** Returns the name of the first invalid part of a snapshot; null if all of it is valid. */
     static String findInvalidPart(PolicySnapshot snapshot) {
         boolean isValid = !TimeSpan.ZERO.isLongerThan(snapshot.age())
-                && isFigure(snapshot.loadSeconds())
-                && isFigure(snapshot.loadCount());
+                && isInRange(snapshot.loadSeconds())
+                && isInRange(snapshot.loadCount());
         if (!isValid) {
-            return "figures that can't be";
+            return "age, load seconds or load count out of range";
         }
         Set<String> workers = new HashSet<>();
         for (PolicySnapshot.WorkerSnapshot worker : snapshot.workers()) {
@@ -53,10 +53,10 @@
 
     private static boolean isValid(PolicySnapshot.FunctionSnapshot function) {
         return function.concurrency() >= 1
-                && isFigure(function.memoryMb())
-                && isFigure(function.recentRequests())
-                && isFigure(function.warmResponses())
-                && isFigure(function.warmSeconds())
+                && isInRange(function.memoryMb())
+                && isInRange(function.recentRequests())
+                && isInRange(function.warmResponses())
+                && isInRange(function.warmSeconds())
                 && (function.typicalLoadTime() == null || !TimeSpan.ZERO.isLongerThan(function.typicalLoadTime()));
     }
 
@@ -73,7 +73,7 @@
         return true;
     }
 
-    private static boolean isFigure(double figure) {
-        return figure >= 0 && figure < FIGURE_BOUND;
+    private static boolean isInRange(double value) {
+        return value >= 0 && value < VALUE_BOUND;
     }
 }
--- a/decisions/src/main/java/pearladder/recovery/package-info.java
+++ b/decisions/src/main/java/pearladder/recovery/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Decides how much of its predecessor's routing state a restarted router may use again. No I/O, no threads, no clock.
+ * Decides how much of the routing state from before a restart a router may reuse. No I/O, no threads, no clock.
  */
 package pearladder.recovery;
--- a/decisions/src/test/java/pearladder/recovery/SnapshotRecoveryRandomizedTest.java
+++ b/decisions/src/test/java/pearladder/recovery/SnapshotRecoveryRandomizedTest.java
@@ -16,7 +16,10 @@
 import pearladder.routing.state.PolicySnapshot.InstanceSnapshot;
 import pearladder.routing.state.PolicySnapshot.WorkerSnapshot;
 
-/** Random snapshots: nothing gets younger or more, and no instance outlives its worker process or the idle timeout. */
+/**
+ * Random snapshots: no age decreases, no count increases, and no instance outlives its worker process or the idle
+ * timeout.
+ */
 class SnapshotRecoveryRandomizedTest {
     private static final TimeSpan IDLE_TIMEOUT = TimeSpan.seconds(10);
     private static final TimeSpan QUOTA_WINDOW = TimeSpan.seconds(5);
@@ -26,14 +29,14 @@
     private final SnapshotRecovery recovery = new SnapshotRecovery(IDLE_TIMEOUT, QUOTA_WINDOW, QUOTA_BURST);
 
     @Test
-    void restoresNothingThatDoesNotHoldAnyMore() {
+    void restoresNothingThatIsNoLongerValid() {
         for (int seed = 0; seed < 300; seed++) {
-            RestartState found = randomFound(new SplittableRandom(seed));
-            PolicySnapshot now = recovery.recover(found).snapshot();
-            checkInstances(found, now);
-            checkWorkers(found, now);
-            checkLoadRequests(found, now);
-            assertTrue(found.gap().nanos() >= 0 || now.functions().isEmpty());
+            RestartState restartState = randomRestartState(new SplittableRandom(seed));
+            PolicySnapshot now = recovery.recover(restartState).snapshot();
+            checkInstances(restartState, now);
+            checkWorkers(restartState, now);
+            checkLoadRequests(restartState, now);
+            assertTrue(restartState.gap().nanos() >= 0 || now.functions().isEmpty());
         }
     }
 
@@ -41,7 +44,7 @@
         return TimeSpan.seconds(seconds);
     }
 
-    private static RestartState randomFound(SplittableRandom random) {
+    private static RestartState randomRestartState(SplittableRandom random) {
         TimeSpan gap = seconds(random.nextDouble() * 40 - 3);
         Map<String, TimeSpan> uptimes = new HashMap<>();
         List<WorkerSnapshot> workers = randomWorkers(random, gap, uptimes);
@@ -60,7 +63,7 @@
         return new RestartState(then, gap, loadRequestAges, isLogComplete, uptimes);
     }
 
-    /** Fills {@code uptimes} with those after the gap: of some the same process, of some another, of some none. */
+    /** Fills {@code uptimes} with those after the gap: some of the same process, some of another, some missing. */
     private static List<WorkerSnapshot> randomWorkers(
             SplittableRandom random, TimeSpan gap, Map<String, TimeSpan> uptimes) {
         List<WorkerSnapshot> workers = new ArrayList<>();
@@ -76,14 +79,14 @@
         return workers;
     }
 
-    private static void checkInstances(RestartState found, PolicySnapshot now) {
+    private static void checkInstances(RestartState restartState, PolicySnapshot now) {
         for (FunctionSnapshot function : now.functions()) {
             for (InstanceSnapshot instance : function.instances()) {
-                InstanceSnapshot then = found.snapshot().functions().get(0).instances().stream()
-                        .filter(one -> one.worker().equals(instance.worker()))
+                InstanceSnapshot then = restartState.snapshot().functions().get(0).instances().stream()
+                        .filter(candidate -> candidate.worker().equals(instance.worker()))
                         .findFirst()
                         .orElseThrow();
-                assertEquals(then.sinceRenewed().plus(found.gap()), instance.sinceRenewed());
+                assertEquals(then.sinceRenewed().plus(restartState.gap()), instance.sinceRenewed());
                 assertTrue(!instance.sinceRenewed().isLongerThan(IDLE_TIMEOUT));
                 assertTrue(instance.instances() <= then.instances());
                 assertTrue(now.workers().stream()
@@ -92,19 +95,19 @@
         }
     }
 
-    private static void checkWorkers(RestartState found, PolicySnapshot now) {
+    private static void checkWorkers(RestartState restartState, PolicySnapshot now) {
         for (WorkerSnapshot worker : now.workers()) {
-            assertTrue(found.uptimes().containsKey(worker.worker()));
+            assertTrue(restartState.uptimes().containsKey(worker.worker()));
             assertTrue(worker.ejectedFor().nanos() >= 0);
         }
     }
 
-    private static void checkLoadRequests(RestartState found, PolicySnapshot now) {
-        long withinWindow = found.loadRequestAges().stream()
+    private static void checkLoadRequests(RestartState restartState, PolicySnapshot now) {
+        long withinWindow = restartState.loadRequestAges().stream()
                 .filter(age -> !age.isLongerThan(QUOTA_WINDOW))
                 .count();
         assertEquals(
-                found.isLogComplete() ? withinWindow : Math.max(withinWindow, QUOTA_BURST),
+                restartState.isLogComplete() ? withinWindow : Math.max(withinWindow, QUOTA_BURST),
                 now.loadRequestAges().size());
     }
 }
--- a/decisions/src/test/java/pearladder/recovery/SnapshotRecoveryTest.java
+++ b/decisions/src/test/java/pearladder/recovery/SnapshotRecoveryTest.java
@@ -28,7 +28,7 @@
         return new InstanceSnapshot("e1", count, seconds(sinceRenewed), true);
     }
 
-    /** Of one worker, e1, and one function with the given instances. */
+    /** Returns a snapshot of one worker, e1, and one function with the given instances. */
     private static PolicySnapshot snapshot(TimeSpan uptime, double recentRequests, InstanceSnapshot... instances) {
         return new PolicySnapshot(
                 TimeSpan.ZERO,
@@ -124,7 +124,7 @@
         for (PolicySnapshot snapshot : invalid) {
             SnapshotRecovery.RecoveredState recovered = recovery.recover(
                     new RestartState(snapshot, seconds(1), List.of(seconds(1)), true, Map.of("e1", seconds(101))));
-            assertTrue(recovered.reason().startsWith("the snapshot is none"), recovered.reason());
+            assertTrue(recovered.reason().startsWith("the snapshot is invalid"), recovered.reason());
             assertEquals(List.of(), recovered.snapshot().functions());
             assertEquals(List.of(seconds(1)), recovered.snapshot().loadRequestAges());
         }
