--- a/decisions/src/main/java/pearladder/background/BackgroundScheduler.java
+++ b/decisions/src/main/java/pearladder/background/BackgroundScheduler.java
@@ -11,31 +11,32 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Decides when each background job is started. Its one entry point is {@link #on}: an event goes in, actions come out.
+ * Decides when each background job is started. Every event is passed to {@link #on}, which returns the actions to
+ * execute.
  *
- * <p>Job classes go by rank; within a class tenants share fairly ({@link JobQueue}). A class spends no more than its
- * budget: what a job cost beyond what was expected is paid back before the next one starts. A job that can't start by
- * its deadline is dropped at once, not when the deadline has passed.
+ * <p>Job classes are served by rank; within a class, tenants share fairly ({@link JobQueue}). A class spends no more
+ * than its budget: the cost of a job beyond its estimate is refilled before the next one starts. A job that can't start
+ * by its deadline is dropped at once, not when the deadline has passed.
  */
 public final class BackgroundScheduler {
-    /** Time between two evaluations of the waiting jobs; short against back-offs and deadlines. */
-    private static final TimeSpan TICK = TimeSpan.millis(50);
-    /** Back-off never grows beyond this many times the first one. */
+    /** Interval between evaluations of the waiting jobs; short compared with back-offs and deadlines. */
+    private static final TimeSpan TICK_INTERVAL = TimeSpan.millis(50);
+    /** Longest back-off as a multiple of the first one. */
     private static final double MAX_BACKOFF_FACTOR = 100;
-    /** A back-off is multiplied by a random number from this on up to this plus one. */
+    /** A back-off is multiplied by a random number between this and this plus one. */
     private static final double MIN_JITTER = 0.5;
 
     private static final double CRC32_VALUES = 4294967296.0;
-    /** Lets rounding errors in the overload not suspend a rank. */
-    private static final double ROUNDING = 1e-9;
+    /** Tolerance that keeps rounding errors in the overload from suspending a rank. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private final long seed;
     private final TimeSpan fullOverloadLag;
     private final TreeMap<Integer, List<JobQueue>> queuesByRank = new TreeMap<>();
     private final Map<String, JobQueue> queues = new LinkedHashMap<>();
-    /** Jobs that wait or run, by identifier. */
+    /** Waiting and running jobs by identifier. */
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    /** Lag of the event loop, from 0 for none to 1 where only rank 0 is started. */
+    /** Event-loop lag scaled from 0 for none to 1, at which only rank 0 is started. */
     private double overload;
 
     private long submittedCount;
@@ -51,8 +52,8 @@
     /**
      * Creates a scheduler without jobs.
      *
-     * @param seed of the random part of back-offs
-     * @param fullOverloadLag lag of the event loop from which on only rank 0 is started; without lag all ranks are
+     * @param seed seed of the random part of back-offs
+     * @param fullOverloadLag event-loop lag from which on only rank 0 is started; without lag all ranks are started
      */
     public BackgroundScheduler(
             long seed, List<JobClass> jobClasses, TimeSpan fullOverloadLag, MonotonicTime startedAt) {
@@ -69,9 +70,9 @@
     }
 
     /**
-     * Takes in what happened.
+     * Handles an event.
      *
-     * @return what is to be done, in this order
+     * @return the actions to execute, in this order
      */
     public List<JobAction> on(MonotonicTime eventTime, JobEvent event) {
         now = eventTime;
@@ -94,7 +95,7 @@
         return actions;
     }
 
-    /** Number of jobs that wait or run. */
+    /** Returns the number of waiting and running jobs. */
     public int size() {
         return jobs.size();
     }
@@ -111,19 +112,19 @@
         queue.add(job);
         if (queue.isOverfull()) {
             JobClass jobClass = queue.jobClass;
-            drop(queue.lastByDeadline(), jobClass.name() + " holds " + jobClass.maxWaiting() + " pieces already");
+            drop(queue.lastByDeadline(), jobClass.name() + " already has " + jobClass.maxWaiting() + " waiting jobs");
         }
     }
 
-    /** Why a job is not accepted; null where it is. */
+    /** Returns why a job is not accepted; null if it is accepted. */
     private String rejectionReason(JobEvent.JobSubmitted submitted, JobQueue queue) {
         if (queue == null) {
-            return "no such class: " + submitted.jobClass();
+            return "unknown job class: " + submitted.jobClass();
         }
         if (jobs.containsKey(submitted.id())) {
-            return "asked for already";
+            return "a job with this identifier is already waiting or running";
         }
-        return isShuttingDown && !queue.jobClass.runsAtShutdown() ? "the router stops" : null;
+        return isShuttingDown && !queue.jobClass.runsAtShutdown() ? "the router is shutting down" : null;
     }
 
     private void onCancelled(JobEvent.JobCancelled cancelled) {
@@ -137,7 +138,7 @@
         isShuttingDown = true;
         List.copyOf(jobs.values()).stream()
                 .filter(job -> !job.isRunning && !job.queue.jobClass.runsAtShutdown())
-                .forEach(job -> drop(job, "the router stops"));
+                .forEach(job -> drop(job, "the router is shutting down"));
     }
 
     private void onEnded(JobEvent.JobEnded ended) {
@@ -162,7 +163,7 @@
         return Math.min(MAX_BACKOFF_FACTOR, Math.pow(2, attempt - 1)) * (MIN_JITTER + nextRandom());
     }
 
-    /** A reproducible random number from 0 inclusive to 1 exclusive. */
+    /** Returns a reproducible random number from 0 inclusive to 1 exclusive. */
     private double nextRandom() {
         CRC32 crc = new CRC32();
         crc.update((seed + ":" + randomCount++).getBytes(StandardCharsets.UTF_8));
@@ -189,22 +190,25 @@
                 if (isActive) {
                     startJobs(queue);
                 }
-                queue.findLate(now).forEach(job -> drop(job, "it can't begin by its time"));
+                queue.findLate(now).forEach(job -> drop(job, "it can't start by its deadline"));
             }
         });
     }
 
-    /** Each rank has an equal part of the overload from 0 to 1, so that a trace of it suspends none. */
+    /**
+     * Returns the highest rank that is started. Each rank has an equal part of the overload from 0 to 1, so that a
+     * small overload suspends none.
+     */
     private int highestActiveRank() {
         int rankCount = queuesByRank.lastKey() + 1;
-        return (int) Math.floor((1 - overload) * rankCount + ROUNDING);
+        return (int) Math.floor((1 - overload) * rankCount + ROUNDING_TOLERANCE);
     }
 
     private void updateSuspension(JobQueue queue, boolean isSuspended) {
         if (queue.setSuspended(isSuspended)) {
             actions.add(new JobAction.Log(String.format(
-                    "background work %s %s: strain %.2f, %d pieces wait",
-                    queue.jobClass.name(), isSuspended ? "stands still" : "goes on", overload, queue.waitingCount())));
+                    "background jobs %s %s: overload %.2f, %d jobs waiting",
+                    queue.jobClass.name(), isSuspended ? "suspended" : "resumed", overload, queue.waitingCount())));
         }
     }
 
@@ -219,7 +223,7 @@
     private void scheduleTick() {
         if (!isTickScheduled && jobs.values().stream().anyMatch(job -> !job.isRunning)) {
             isTickScheduled = true;
-            actions.add(new JobAction.ScheduleTick(TICK));
+            actions.add(new JobAction.ScheduleTick(TICK_INTERVAL));
         }
     }
 }
--- a/decisions/src/main/java/pearladder/background/Job.java
+++ b/decisions/src/main/java/pearladder/background/Job.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import pearladder.routing.api.MonotonicTime;
 
-/** A job that waits or runs. {@link BackgroundScheduler} and {@link JobQueue} own it. */
+/** A waiting or running job. {@link BackgroundScheduler} and {@link JobQueue} own it. */
 final class Job {
     /** The earliest deadline first, then in the order in which they were submitted. */
     static final Comparator<Job> BY_DEADLINE =
@@ -12,16 +12,16 @@
     final JobEvent.JobSubmitted request;
     final JobQueue queue;
     private final long number;
-    /** Start tag of fair queueing, in seconds of the class's budget; set when the job is considered. */
+    /** Start tag of fair queueing, in seconds of the class's budget; set when the job is considered for a start. */
     double startTag;
-    /** Earliest start: when it was submitted, or after the back-off when it has failed. */
+    /** Earliest start: the time of submission, or the end of the back-off if the job has failed. */
     MonotonicTime notBefore;
     /** Number of the last attempt; 0 before the first. */
     int attempt;
 
     boolean isRunning;
 
-    /** @param number of the job in the order in which they were submitted */
+    /** @param number sequence number of the job by order of submission */
     Job(JobEvent.JobSubmitted request, JobQueue queue, long number, MonotonicTime submittedAt) {
         this.request = request;
         this.queue = queue;
--- a/decisions/src/main/java/pearladder/background/JobAction.java
+++ b/decisions/src/main/java/pearladder/background/JobAction.java
@@ -2,23 +2,23 @@
 
 import pearladder.routing.api.TimeSpan;
 
-/** What has to be done with background jobs, in the order given. */
+/** An action that the owner of a {@link BackgroundScheduler} has to execute, in the order returned. */
 public sealed interface JobAction {
     /**
      * Run the job now and report {@link JobEvent.JobEnded}.
      *
-     * @param attempt 1 for the first
+     * @param attempt number of the attempt, from 1
      */
     record StartJob(String id, int attempt) implements JobAction {}
 
     /**
-     * The job is dropped; nothing more is said about it.
+     * Drop the job; no further action follows for it.
      *
-     * @param reason why, in a few words, for the log and for whoever submitted it
+     * @param reason short reason for the log and for the submitter
      */
     record DropJob(String id, String reason) implements JobAction {}
 
-    /** Report {@link JobEvent.Tick} after this time. */
+    /** Report {@link JobEvent.Tick} after the delay. */
     record ScheduleTick(TimeSpan delay) implements JobAction {}
 
     /** Log a change of the scheduler's state, with its figures. */
--- a/decisions/src/main/java/pearladder/background/JobQueue.java
+++ b/decisions/src/main/java/pearladder/background/JobQueue.java
@@ -8,13 +8,13 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * The jobs of one class: its budget, and start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996) between its
- * tenants. A job's start tag is the larger of the class's virtual time and its tenant's last finish tag; the smallest
- * start tag goes first, so one tenant is ahead of another by at most one job of each. Jobs of one tenant go by
- * deadline.
+ * Queue of the jobs of one class: keeps its budget, and shares it between its tenants by start-time fair queueing
+ * (Goyal, Vin and Cheng, SIGCOMM 1996). A job's start tag is the larger of the class's virtual time and its tenant's
+ * last finish tag; the job with the smallest start tag is started first, so one tenant is ahead of another by at most
+ * one job of each. Jobs of one tenant are started by deadline.
  */
 final class JobQueue {
-    /** Least weight of a job, so that jobs without a cost share by their number. */
+    /** Minimum weight of a job, so that tenants whose jobs have no cost share by the number of jobs. */
     private static final double MIN_WEIGHT = 1e-6;
 
     final JobClass jobClass;
@@ -24,16 +24,16 @@
     private final Map<String, Double> finishTags = new LinkedHashMap<>();
 
     private double virtualTime;
-    /** What may be spent now; below zero while a job that cost more than expected is paid back. */
+    /** Budget that may be spent now; negative after a job that cost more than expected, until it is refilled. */
     private ResourceCost available;
 
     private MonotonicTime refilledAt;
     private int runningCount;
     private int waitingCount;
-    /** Whether jobs wait while the event loop is too late for the class's rank. */
+    /** Whether jobs wait because the event-loop lag is too high for the class's rank. */
     private boolean isSuspended;
 
-    /** A queue with its whole burst available. */
+    /** Creates a queue with its whole burst available. */
     JobQueue(JobClass jobClass, MonotonicTime createdAt) {
         this.jobClass = jobClass;
         this.available = jobClass.burst();
@@ -49,7 +49,7 @@
         waitingCount++;
     }
 
-    /** Does nothing where the job is not waiting. */
+    /** Removes a job; does nothing if it is not waiting. */
     void remove(Job job) {
         List<Job> own = waitingByTenant.get(job.tenant());
         if (own != null && own.remove(job)) {
@@ -68,7 +68,7 @@
         return waitingCount > jobClass.maxWaiting();
     }
 
-    /** The waiting job with the latest deadline, of all tenants. */
+    /** Returns the waiting job with the latest deadline, of all tenants. */
     Job lastByDeadline() {
         return waitingByTenant.values().stream()
                 .flatMap(List::stream)
@@ -76,7 +76,7 @@
                 .orElseThrow();
     }
 
-    /** Waiting jobs that can't be started by their deadlines, as the budget they need will not be there. */
+    /** Returns the waiting jobs whose budget is refilled, or whose back-off ends, only after their deadlines. */
     List<Job> findLate(MonotonicTime now) {
         List<Job> late = new ArrayList<>();
         for (List<Job> own : waitingByTenant.values()) {
@@ -94,7 +94,7 @@
         return startBy.isBefore(earliestStart) || startBy.isBefore(job.notBefore);
     }
 
-    /** Remembers whether the class is suspended; returns whether that has changed. */
+    /** Sets whether the class is suspended; returns whether that has changed. */
     boolean setSuspended(boolean suspended) {
         boolean hasChanged = isSuspended != suspended;
         isSuspended = suspended;
@@ -103,7 +103,7 @@
 
     // ---- starting and ending
 
-    /** The job to start next, or null where none may start now. */
+    /** Returns the job to start next, or null if none may start now. */
     Job next(MonotonicTime now) {
         if (runningCount >= jobClass.maxRunning()) {
             return null;
@@ -112,7 +112,7 @@
         return first != null && secondsUntil(first.expectedCost()) <= 0 ? first : null;
     }
 
-    /** The job with the smallest start tag among each tenant's first one that may start now. */
+    /** Returns the job with the smallest start tag among each tenant's first one that may start now. */
     private Job firstByStartTag(MonotonicTime now) {
         Job first = null;
         for (Map.Entry<String, List<Job>> entry : waitingByTenant.entrySet()) {
@@ -136,7 +136,7 @@
                 .orElse(null);
     }
 
-    /** Takes a job out of the queue and spends what it is expected to cost. */
+    /** Removes a job from the queue and deducts its expected cost from the budget. */
     void start(Job job) {
         remove(job);
         job.isRunning = true;
@@ -148,7 +148,7 @@
         finishTags.values().removeIf(finishTag -> finishTag <= virtualTime);
     }
 
-    /** Corrects what was spent when the job was started by what it really cost. */
+    /** Replaces the expected cost that was deducted at the start of the job by its actual cost. */
     void end(Job job, ResourceCost cost, MonotonicTime now) {
         job.isRunning = false;
         runningCount--;
@@ -156,7 +156,7 @@
         available = available.minus(cost).plus(job.expectedCost());
     }
 
-    /** A cost as one figure, so that a job that costs ten times as much counts ten times. */
+    /** Returns the cost of a job as one number: a job that costs ten times as much counts ten times. */
     private double weight(Job job) {
         return Math.max(MIN_WEIGHT, job.expectedCost().shareOf(jobClass.budgetPerSecond()));
     }
@@ -169,7 +169,7 @@
         refilledAt = now;
     }
 
-    /** Time until a cost is available; of a cost above the burst, until the whole burst is. */
+    /** Returns the time until a cost is available; for a cost above the burst, until the whole burst is. */
     private double secondsUntil(ResourceCost cost) {
         ResourceCost missing = cost.atMost(jobClass.burst()).minus(available);
         return Math.max(0, missing.shareOf(jobClass.budgetPerSecond()));
--- a/decisions/src/main/java/pearladder/background/ResourceCost.java
+++ b/decisions/src/main/java/pearladder/background/ResourceCost.java
@@ -1,11 +1,11 @@
 package pearladder.background;
 
 /**
- * What a job costs, or what a job class may spend in a second.
+ * Cost of a job, or budget of a job class per second.
  *
- * @param cpuSeconds seconds of one core
- * @param bytes bytes read or written
- * @param loadRequests load requests sent to workers
+ * @param cpuSeconds CPU time in seconds of one core
+ * @param bytes number of bytes read or written
+ * @param loadRequests number of load requests sent to workers
  */
 public record ResourceCost(double cpuSeconds, double bytes, double loadRequests) {
     /** No cost; as a budget, no limit. */
@@ -30,7 +30,7 @@
         return new ResourceCost(cpuSeconds * factor, bytes * factor, loadRequests * factor);
     }
 
-    /** The largest of the three as a multiple of the budget; a kind of cost without a budget counts as 0. */
+    /** Returns the largest of the three as a multiple of the budget; a kind of cost without a budget counts as 0. */
     double shareOf(ResourceCost budget) {
         double share = Math.max(share(bytes, budget.bytes), share(loadRequests, budget.loadRequests));
         return Math.max(share(cpuSeconds, budget.cpuSeconds), share);
--- a/decisions/src/main/java/pearladder/background/package-info.java
+++ b/decisions/src/main/java/pearladder/background/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Background jobs of a router: decides which is started when, within which budgets, and which is dropped. No I/O, no
- * threads, no clock; the caller runs the jobs and reports how they ended.
+ * Background jobs of a router: decides which job is started when, within the budget of its class, and which one is
+ * dropped. No I/O, no threads, no clock; the caller runs the jobs and reports how they ended.
  */
 package pearladder.background;
--- a/decisions/src/test/java/pearladder/background/BackgroundSchedulerRandomizedTest.java
+++ b/decisions/src/test/java/pearladder/background/BackgroundSchedulerRandomizedTest.java
@@ -39,14 +39,14 @@
         private final SplittableRandom random;
         private final BackgroundScheduler scheduler;
         private MonotonicTime now = new MonotonicTime(0);
-        /** Class name by identifier. */
+        /** Class names of running jobs by identifier. */
         private final Map<String, String> running = new HashMap<>();
-        /** Seconds of a core by class name. */
+        /** CPU seconds by class name. */
         private final Map<String, Double> spent = new HashMap<>();
 
         private final Set<String> submitted = new HashSet<>();
         private final Set<String> ended = new HashSet<>();
-        /** Lag of the event loop in seconds, 1 for the full overload. */
+        /** Event-loop lag in seconds, 1 for the full overload. */
         private double lag;
 
         RandomRun(int seed) {
@@ -107,18 +107,18 @@
         }
 
         private void checkAction(JobAction action) {
-            if (action instanceof JobAction.StartJob begin) {
-                String name = className(begin.id());
-                assertFalse(ended.contains(begin.id()), "started after its end");
-                assertEquals(null, running.put(begin.id(), name), "started twice at once");
+            if (action instanceof JobAction.StartJob start) {
+                String name = className(start.id());
+                assertFalse(ended.contains(start.id()), "started after its end");
+                assertEquals(null, running.put(start.id(), name), "started while it is running");
                 JobClass jobClass = JOB_CLASSES.stream()
-                        .filter(one -> one.name().equals(name))
+                        .filter(candidate -> candidate.name().equals(name))
                         .findFirst()
                         .orElseThrow();
-                assertTrue(jobClass.rank() <= (1 - lag) * 2 + 1e-9, "a rank that is suspended");
+                assertTrue(jobClass.rank() <= (1 - lag) * 2 + 1e-9, "started although its rank is suspended");
             } else if (action instanceof JobAction.DropJob dropped) {
                 assertTrue(ended.add(dropped.id()), "ended twice: " + dropped.id());
-                assertFalse(running.containsKey(dropped.id()), "dropped while it runs");
+                assertFalse(running.containsKey(dropped.id()), "dropped while it is running");
             }
         }
 
--- a/decisions/src/test/java/pearladder/background/BackgroundSchedulerTest.java
+++ b/decisions/src/test/java/pearladder/background/BackgroundSchedulerTest.java
@@ -64,37 +64,37 @@
             running.addAll(started(new JobEvent.JobEnded(ended, true, ONE)));
             all.addAll(running);
         }
-        assertEquals(10, all.size(), "a second's budget is ten jobs");
+        assertEquals(10, all.size(), "the burst of one second pays for ten jobs");
         now = now.plus(TimeSpan.millis(210));
-        assertEquals(List.of("p10", "p11"), started(new JobEvent.Tick()), "0.21 s earn two more");
+        assertEquals(List.of("p10", "p11"), started(new JobEvent.Tick()), "0.21 s refill the budget for two more");
     }
 
     @Test
-    void paysBackWhatAJobCostBeyondItsEstimate() {
+    void chargesTheCostOfAJobBeyondItsEstimate() {
         started(job("a", "report", ""));
         scheduler.on(now, new JobEvent.JobEnded("a", true, new ResourceCost(0.1, 0, 0)));
         assertEquals(List.of(), started(job("b", "report", "")));
         now = now.plus(TimeSpan.millis(1100));
-        assertEquals(List.of(), started(new JobEvent.Tick()), "0.05 s are left of a debt of 0.05 s and 0.01 are asked");
+        assertEquals(List.of(), started(new JobEvent.Tick()), "the budget is 0.005 s, the cost 0.01 s");
         now = now.plus(TimeSpan.millis(200));
         assertEquals(List.of("b"), started(new JobEvent.Tick()));
     }
 
     @Test
-    void suspendsTheHighestRankFirstWhenTheEventLoopIsLateAndLogsIt() {
+    void suspendsTheHighestRankFirstWhenTheEventLoopLagsAndLogsIt() {
         scheduler.on(now, new JobEvent.LoopLagMeasured(TimeSpan.millis(400)));
         List<JobAction> actions = scheduler.on(now, job("r", "report", ""));
         assertTrue(actions.stream()
                 .anyMatch(action ->
-                        action instanceof JobAction.Log log && log.text().contains("report stands still")));
+                        action instanceof JobAction.Log log && log.text().contains("report suspended")));
         assertEquals(List.of("p"), started(job("p", "probe", "")));
         scheduler.on(now, new JobEvent.LoopLagMeasured(TimeSpan.seconds(3)));
         assertEquals(List.of(), started(job("p2", "probe", "")));
-        assertEquals(List.of("f"), started(job("f", "flush", "")), "rank 0 always works");
+        assertEquals(List.of("f"), started(job("f", "flush", "")), "rank 0 is never suspended");
         assertEquals(List.of("p2", "r"), started(new JobEvent.LoopLagMeasured(TimeSpan.ZERO)));
     }
 
-    /** Found over real sockets: with two classes, a lag of a microsecond suspended the second one for good. */
+    /** Guards against a fault seen over real sockets: with two classes, a lag of 1 us suspended the second for good. */
     @Test
     void suspendsNothingOverASmallLag() {
         scheduler = JobClasses.createScheduler(1, now);
@@ -131,7 +131,7 @@
         scheduler.on(now, new JobEvent.JobEnded("a", true, new ResourceCost(0.2, 0, 0)));
         List<JobAction> actions =
                 scheduler.on(now, new JobEvent.JobSubmitted("b", "report", "", ONE, now.plus(TimeSpan.seconds(1))));
-        assertEquals(List.of("b"), dropped(actions), "three seconds of debt, and one second to begin");
+        assertEquals(List.of("b"), dropped(actions), "the budget is refilled in 3.2 s, the deadline is in 1 s");
         assertEquals(
                 List.of(),
                 dropped(scheduler.on(
