--- a/decisions/src/main/java/pearladder/writebuffer/WriteBuffer.java
+++ b/decisions/src/main/java/pearladder/writebuffer/WriteBuffer.java
@@ -8,14 +8,14 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Decides what becomes of entries on their way to the disk. Its main entry point is {@link #on}: an event goes in,
- * actions come out.
+ * Decides when entries of the event log are written to the disk, and which of them are dropped. Every event is passed
+ * to {@link #on}, which returns the actions to execute.
  *
- * <p>Entries are gathered for a short time and written in one batch, so that a crash loses at most what was gathered
- * and one write. While the disk is too slow, details are dropped first, then everything; a request never waits for it.
- * A load request under a quota is sent only when its entry is on disk, or a restart would not count it; one that would
- * wait longer than the loss window is withheld, since delayed load requests would be sent in a burst that no quota
- * allows.
+ * <p>Entries are gathered for a short time and written in one batch, so that a crash loses at most the gathered entries
+ * and one write. While the disk is too slow, details are dropped first, then all entries; a request never waits for the
+ * disk. A load request under a quota is sent only when its entry is on disk, because otherwise a restart would not
+ * count it; one that would wait longer than the loss window is withheld, because delayed load requests would be sent in
+ * a burst that no quota allows.
  */
 public final class WriteBuffer {
     /** @param position number of the last entry that must be on disk before the load request is sent */
@@ -23,7 +23,7 @@
 
     private static final TimeSpan FIRST_RETRY_DELAY = TimeSpan.millis(100);
     private static final TimeSpan MAX_RETRY_DELAY = TimeSpan.seconds(2);
-    private static final String NOT_WRITABLE = "its record can't be kept";
+    private static final String WRITES_FAIL = "the event log can't be written";
 
     private final TimeSpan gatherTime;
     private final TimeSpan lossWindow;
@@ -35,9 +35,9 @@
 
     private long acceptedCount;
     private long writtenCount;
-    /** Entries in the batch that is being written; 0 while none is. */
-    private int writing;
-    /** Entries dropped since they were last reported, and those among them that are no details. */
+    /** Number of entries in the batch that is being written; 0 while none is. */
+    private int writingCount;
+    /** Numbers of entries dropped since the last report, and of those among them that are no details. */
     private long droppedCount;
 
     private long droppedNonDetails;
@@ -57,9 +57,9 @@
      * Creates an empty buffer.
      *
      * @param gatherTime time for which entries are gathered before they are written
-     * @param lossWindow most that a crash may lose, as time; a load request waits no longer for its entry
-     * @param capacity entries held, at most; details only up to half of it
-     * @param batchSize entries written at a time, at most
+     * @param lossWindow time span whose entries a crash may lose; a load request waits no longer for its entry
+     * @param capacity maximum number of entries in the buffer; details are accepted only up to half of it
+     * @param batchSize maximum number of entries in one write
      */
     public WriteBuffer(TimeSpan gatherTime, TimeSpan lossWindow, int capacity, int batchSize) {
         this.gatherTime = gatherTime;
@@ -70,18 +70,18 @@
     }
 
     /**
-     * Takes in what happened.
+     * Handles an event.
      *
-     * @return what is to be done, in this order
+     * @return the actions to execute, in this order
      */
     public List<WriteBufferAction> on(MonotonicTime eventTime, WriteBufferEvent event) {
         now = eventTime;
         actions = new ArrayList<>();
         if (event instanceof WriteBufferEvent.EntryReceived entry) {
             onEntry(entry);
-        } else if (event instanceof WriteBufferEvent.Written written && writing > 0) {
+        } else if (event instanceof WriteBufferEvent.Written written && writingCount > 0) {
             onWritten(written);
-        } else if (event instanceof WriteBufferEvent.WriteFailed failed && writing > 0) {
+        } else if (event instanceof WriteBufferEvent.WriteFailed failed && writingCount > 0) {
             onFailed(failed);
         } else if (event instanceof WriteBufferEvent.Tick) {
             withholdExpired();
@@ -94,12 +94,12 @@
         return actions;
     }
 
-    /** Number of entries taken that are not on disk yet. */
+    /** Returns the number of accepted entries that are not on disk yet. */
     public int size() {
         return (int) (acceptedCount - writtenCount);
     }
 
-    /** Whether the last write has failed. */
+    /** Returns whether the last write has failed. */
     public boolean isFailing() {
         return isFailing;
     }
@@ -138,21 +138,21 @@
         }
     }
 
-    /** Lets a load request wait for the entry that was just taken. */
+    /** Makes a load request wait for the entry that was just accepted. */
     private void awaitWrite(String loadRequestId) {
         if (isFailing) {
-            withhold(loadRequestId, NOT_WRITABLE);
+            withhold(loadRequestId, WRITES_FAIL);
             return;
         }
         pendingLoadRequests.add(new PendingLoadRequest(loadRequestId, acceptedCount, now.plus(lossWindow)));
         actions.add(new WriteBufferAction.ScheduleTick(lossWindow));
     }
 
-    /** The disk may hang without an answer: a load request does not wait for it. */
+    /** Withholds load requests that waited too long: the disk may hang without reporting a failure. */
     private void withholdExpired() {
         while (!pendingLoadRequests.isEmpty()
                 && !now.isBefore(pendingLoadRequests.peek().expiresAt())) {
-            withhold(pendingLoadRequests.poll().id(), "its record came too late");
+            withhold(pendingLoadRequests.poll().id(), "its event log entry was not written in time");
         }
     }
 
@@ -163,25 +163,25 @@
     // ---- writes
 
     private void writeIfDue() {
-        if (writing == 0 && size() > 0 && !now.isBefore(nextWriteAt)) {
-            writing = Math.min(batchSize, size());
-            actions.add(new WriteBufferAction.WriteBatch(writing));
+        if (writingCount == 0 && size() > 0 && !now.isBefore(nextWriteAt)) {
+            writingCount = Math.min(batchSize, size());
+            actions.add(new WriteBufferAction.WriteBatch(writingCount));
         }
     }
 
     private void onWritten(WriteBufferEvent.Written written) {
-        writtenCount += writing;
-        writing = 0;
+        writtenCount += writingCount;
+        writingCount = 0;
         retryDelay = FIRST_RETRY_DELAY;
         if (isFailing) {
             isFailing = false;
             log(
-                    "records are kept again: %d entries were left out, %d of them no details",
+                    "the event log is written again: %d entries were dropped, %d of them no details",
                     droppedCount, droppedNonDetails);
         }
         if (delayMonitor.onWritten(now, written.took())) {
             log(
-                    "records are written %s: %d ms a batch, %d entries wait",
+                    "the event log is written %s: %d ms per batch, %d entries waiting",
                     delayMonitor.isBehind() ? "late" : "in time again",
                     written.took().toMillis(),
                     size());
@@ -199,7 +199,7 @@
         }
     }
 
-    /** Waits until the buffer has capacity for the entry that reports it. */
+    /** Reports dropped entries once the buffer has capacity for the entry that reports them. */
     private void reportDropped() {
         if (droppedCount > 0 && size() < capacity / 2) {
             actions.add(new WriteBufferAction.ReportDropped(droppedCount));
@@ -221,15 +221,16 @@
     }
 
     private void onFailed(WriteBufferEvent.WriteFailed failed) {
-        writing = 0;
+        writingCount = 0;
         if (!isFailing) {
             isFailing = true;
             log(
-                    "records can't be kept (%s): %d entries wait, details are left out, orders are withheld",
+                    "the event log can't be written (%s): %d entries waiting, details are dropped,"
+                            + " load requests are withheld",
                     failed.reason(), size());
         }
         while (!pendingLoadRequests.isEmpty()) {
-            withhold(pendingLoadRequests.poll().id(), NOT_WRITABLE);
+            withhold(pendingLoadRequests.poll().id(), WRITES_FAIL);
         }
         nextWriteAt = now.plus(retryDelay);
         actions.add(new WriteBufferAction.ScheduleTick(retryDelay));
--- a/decisions/src/main/java/pearladder/writebuffer/WriteBufferEvent.java
+++ b/decisions/src/main/java/pearladder/writebuffer/WriteBufferEvent.java
@@ -2,12 +2,12 @@
 
 import pearladder.routing.api.TimeSpan;
 
-/** What happened that a {@link WriteBuffer} has to know of. */
+/** An event that a {@link WriteBuffer} handles. */
 public sealed interface WriteBufferEvent {
     /**
      * An entry is to be written.
      *
-     * @param isDetail whether it may be dropped rather early
+     * @param isDetail whether the entry is a detail, which is dropped earlier than others
      * @param loadRequestId load request that must not be sent before the entry is on disk; empty for none
      */
     record EntryReceived(boolean isDetail, String loadRequestId) implements WriteBufferEvent {}
@@ -18,13 +18,13 @@
     /**
      * No entry of the batch is on disk.
      *
-     * @param reason in a few words, for the log
+     * @param reason short reason for the log
      */
     record WriteFailed(String reason) implements WriteBufferEvent {}
 
-    /** The time asked for by {@link WriteBufferAction.ScheduleTick} has passed. */
+    /** The delay of {@link WriteBufferAction.ScheduleTick} has passed. */
     record Tick() implements WriteBufferEvent {}
 
-    /** No more entries come; those in the buffer are to be written at once. */
+    /** No more entries follow; those in the buffer are to be written at once. */
     record ShutdownBegun() implements WriteBufferEvent {}
 }
--- a/decisions/src/main/java/pearladder/writebuffer/WriteDelayMonitor.java
+++ b/decisions/src/main/java/pearladder/writebuffer/WriteDelayMonitor.java
@@ -4,13 +4,13 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Tells whether the disk keeps up. One slow write does not count; several in a row or a very slow one do, until none
- * was slow for a while.
+ * Detects that writes to the disk are behind. One slow write does not count; several in a row or a very slow one do,
+ * until no write was slow for a while.
  */
 final class WriteDelayMonitor {
-    /** Slow writes in a row, and loss windows that one write takes, from which on the disk is behind. */
+    /** The disk is behind after this many slow writes in a row, or after one that takes this many loss windows. */
     private static final int SLOW_LIMIT = 3;
-    /** The disk has caught up when no write was slow for so long. */
+    /** The disk has caught up when no write was slow for this time. */
     private static final TimeSpan RECOVERY_TIME = TimeSpan.seconds(5);
 
     private final TimeSpan gatherTime;
@@ -19,13 +19,13 @@
     private MonotonicTime lastSlowAt = new MonotonicTime(0);
     private boolean isBehind;
 
-    /** A write is slow if gathering and writing together take longer than the loss window. */
+    /** Creates a monitor. A write is slow if gathering and writing together take longer than the loss window. */
     WriteDelayMonitor(TimeSpan gatherTime, TimeSpan lossWindow) {
         this.gatherTime = gatherTime;
         this.lossWindow = lossWindow;
     }
 
-    /** Takes in how long a write took; returns whether {@link #isBehind} has changed. */
+    /** Records how long a write took; returns whether {@link #isBehind} has changed. */
     boolean onWritten(MonotonicTime now, TimeSpan took) {
         boolean isSlow = took.plus(gatherTime).isLongerThan(lossWindow);
         slowInARow = isSlow ? slowInARow + 1 : 0;
--- a/decisions/src/test/java/pearladder/writebuffer/WriteBufferRandomizedTest.java
+++ b/decisions/src/test/java/pearladder/writebuffer/WriteBufferRandomizedTest.java
@@ -73,7 +73,7 @@
             boolean isWritten = random.nextInt(4) > 0;
             WriteBufferEvent event = isWritten
                     ? new WriteBufferEvent.Written(TimeSpan.millis(random.nextInt(80)))
-                    : new WriteBufferEvent.WriteFailed("drawn");
+                    : new WriteBufferEvent.WriteFailed("random failure");
             for (int i = 0; isWritten && i < writing; i++) {
                 onDisk.add(queue.remove(0));
             }
@@ -93,9 +93,9 @@
                 assertEquals(0, writing, "one batch at a time");
                 writing = write.entries();
                 assertTrue(writing > 0 && writing <= queue.size());
-            } else if (action instanceof WriteBufferAction.SendLoadRequest go) {
-                assertTrue(pendingLoadRequests.remove(go.loadRequestId()), go.loadRequestId() + " ended twice");
-                assertTrue(onDisk.contains(go.loadRequestId()), "before its entry was on disk");
+            } else if (action instanceof WriteBufferAction.SendLoadRequest send) {
+                assertTrue(pendingLoadRequests.remove(send.loadRequestId()), send.loadRequestId() + " ended twice");
+                assertTrue(onDisk.contains(send.loadRequestId()), "sent before its entry was on disk");
             } else if (action instanceof WriteBufferAction.WithholdLoadRequest withhold) {
                 assertTrue(
                         pendingLoadRequests.remove(withhold.loadRequestId())
--- a/decisions/src/test/java/pearladder/writebuffer/WriteBufferTest.java
+++ b/decisions/src/test/java/pearladder/writebuffer/WriteBufferTest.java
@@ -25,7 +25,7 @@
         return on(event);
     }
 
-    private static WriteBufferEvent fact() {
+    private static WriteBufferEvent entry() {
         return new WriteBufferEvent.EntryReceived(false, "");
     }
 
@@ -35,8 +35,8 @@
 
     @Test
     void writesGatheredEntriesInOneBatch() {
-        on(fact());
-        assertEquals(List.of(new WriteBufferAction.AcceptEntry()), after(5, fact()));
+        on(entry());
+        assertEquals(List.of(new WriteBufferAction.AcceptEntry()), after(5, entry()));
         assertEquals(List.of(new WriteBufferAction.WriteBatch(2)), after(15, new WriteBufferEvent.Tick()));
         assertEquals(List.of(), after(30, new WriteBufferEvent.Tick()));
         assertEquals(List.of(), on(new WriteBufferEvent.Written(TimeSpan.millis(2))));
@@ -62,7 +62,7 @@
         on(new WriteBufferEvent.EntryReceived(false, "o1"));
         after(20, new WriteBufferEvent.Tick());
         assertEquals(
-                List.of(new WriteBufferAction.WithholdLoadRequest("o1", "its record came too late")),
+                List.of(new WriteBufferAction.WithholdLoadRequest("o1", "its event log entry was not written in time")),
                 after(30, new WriteBufferEvent.Tick()));
         List<WriteBufferAction> late = after(450, new WriteBufferEvent.Written(TimeSpan.millis(480)));
         assertEquals(1, late.size());
@@ -71,27 +71,27 @@
 
     @Test
     void dropsDetailsAndWithholdsLoadRequestsWhileTheDiskIsFullAndLogsItOnce() {
-        on(fact());
+        on(entry());
         after(20, new WriteBufferEvent.Tick());
         List<WriteBufferAction> failed = on(new WriteBufferEvent.WriteFailed("no space"));
         assertTrue(failed.stream().anyMatch(WriteBufferAction.Log.class::isInstance));
         assertEquals(List.of(new WriteBufferAction.DropEntry()), on(detail()));
         assertTrue(on(new WriteBufferEvent.EntryReceived(false, "o1"))
-                .contains(new WriteBufferAction.WithholdLoadRequest("o1", "its record can't be kept")));
+                .contains(new WriteBufferAction.WithholdLoadRequest("o1", "the event log can't be written")));
         assertEquals(List.of(new WriteBufferAction.WriteBatch(2)), after(100, new WriteBufferEvent.Tick()));
         assertFalse(on(new WriteBufferEvent.WriteFailed("no space")).stream()
                 .anyMatch(WriteBufferAction.Log.class::isInstance));
         assertEquals(List.of(new WriteBufferAction.WriteBatch(2)), after(200, new WriteBufferEvent.Tick()));
         List<WriteBufferAction> again = on(new WriteBufferEvent.Written(TimeSpan.millis(1)));
         assertTrue(again.get(0) instanceof WriteBufferAction.Log log
-                && log.text().contains("kept again: 1 entries were left out, 0"));
+                && log.text().contains("written again: 1 entries were dropped, 0"));
         assertTrue(again.contains(new WriteBufferAction.ReportDropped(1)));
     }
 
     @Test
     void writesAtOnceWhenStopping() {
         for (int i = 0; i < 29; i++) {
-            on(fact());
+            on(entry());
         }
         assertEquals(List.of(new WriteBufferAction.WriteBatch(29)), on(new WriteBufferEvent.ShutdownBegun()));
     }
