--- a/decisions/src/main/java/pearladder/metering/InstanceObservation.java
+++ b/decisions/src/main/java/pearladder/metering/InstanceObservation.java
@@ -1,26 +1,26 @@
 package pearladder.metering;
 
 /**
- * What an entry of an event log tells about a model's instances on a worker. Times are those of the wall clock,
+ * An observation of a model's instances on a worker, from an entry of an event log. Times are those of the wall clock,
  * milliseconds since 1970.
  */
 public sealed interface InstanceObservation {
-    /** When it happened, milliseconds since 1970. */
+    /** Returns the time of the observation, milliseconds since 1970. */
     long atMillis();
 
-    /** The router that observed it; an instance observed by two routers counts once. */
+    /** Returns the router that made the observation; an instance observed by two routers counts once. */
     String router();
 
     /**
      * A load was started.
      *
-     * @param tenant whose request started it; empty where the router loaded ahead of requests
+     * @param tenant tenant whose request started it; empty if the router loaded ahead of requests
      * @param loadMillis how long the load took
      */
     record LoadStarted(long atMillis, String router, String worker, String model, String tenant, long loadMillis)
             implements InstanceObservation {}
 
-    /** A load failed: its instance is not there. */
+    /** A load failed: its instance does not exist. */
     record LoadFailed(long atMillis, String router, String worker, String model) implements InstanceObservation {}
 
     /** The worker reported how many instances it holds. */
@@ -28,9 +28,9 @@
             implements InstanceObservation {}
 
     /**
-     * A tenant's requests ran there, the last of them until now.
+     * A tenant's requests ran on the worker, the last of them until the time of the observation.
      *
-     * @param workMicros how long they ran in all, microseconds
+     * @param workMicros total time that they ran, microseconds
      */
     record WorkReported(long atMillis, String router, String worker, String model, String tenant, long workMicros)
             implements InstanceObservation {}
@@ -38,6 +38,6 @@
     /** The worker's process ended or was restarted: all its instances are gone. */
     record WorkerGone(long atMillis, String router, String worker) implements InstanceObservation {}
 
-    /** From now on each instance of the model holds so many megabytes. */
+    /** The memory of each instance of the model from this time on is known. */
     record ModelMemoryKnown(long atMillis, String router, String model, long memoryMb) implements InstanceObservation {}
 }
--- a/decisions/src/main/java/pearladder/metering/InstanceUsage.java
+++ b/decisions/src/main/java/pearladder/metering/InstanceUsage.java
@@ -7,24 +7,24 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The instances of one model on one worker and their memory in the open interval. Times in milliseconds. */
+/** Instances of one model on one worker and their memory usage in the open interval. Times are in milliseconds. */
 final class InstanceUsage {
-    /** Work of the open interval and of the four before it decides on the shares. */
+    /** Number of intervals whose work determines the shares: the open one and the four before it. */
     private static final int WORK_INTERVALS = 5;
 
     final String worker;
     final String model;
     private final long idleTimeout;
     private int instances;
-    /** Memory is counted up to here. */
+    /** Time up to which memory is counted. */
     private long countedUntil;
-    /** When the instances were last known to be there. */
+    /** Time at which the instances were last known to exist. */
     private long renewedAt;
     /** Memory of the open interval, in megabytes times milliseconds. */
     private long megabyteMillis;
-    /** Tenant that pays while no request has run; empty for none. */
+    /** Tenant that is charged while no request has run; empty for none. */
     private String loadingTenant = "";
-    /** Microseconds by tenant for each interval, the open one last. */
+    /** Microseconds of work by tenant for each interval, the open one last. */
     private final Deque<TreeMap<String, Long>> workByInterval = new ArrayDeque<>();
     /** Loads by tenant in the open interval. */
     private final TreeMap<String, Integer> loads = new TreeMap<>();
@@ -41,7 +41,7 @@
     /**
      * Counts the memory up to a time, or to the earlier one at which the instances reached the idle timeout.
      *
-     * @param memoryMb of each instance
+     * @param memoryMb memory of each instance, megabytes
      */
     void countUntil(long time, long memoryMb) {
         long expiresAt = renewedAt + idleTimeout;
@@ -56,7 +56,7 @@
         countedUntil = Math.max(countedUntil, time);
     }
 
-    /** From this time on there are so many instances. Memory must have been counted up to it. */
+    /** Sets the number of instances from a time on. Memory must have been counted up to that time. */
     void setInstances(long time, int count) {
         renewedAt = instances > 0 ? Math.max(renewedAt, time) : time;
         instances = count;
@@ -89,7 +89,7 @@
         return instances > 0 || megabyteMillis > 0;
     }
 
-    /** Whether neither instances nor work of the last intervals are left. */
+    /** Returns whether neither instances nor work of the last intervals are left. */
     boolean isEmpty() {
         return instances == 0 && workByInterval.stream().allMatch(Map::isEmpty);
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Divides the memory of the open interval among the tenants, and restarts the count. */
+    /** Divides the memory of the open interval among the tenants, and resets the count. */
     List<UsageShare> takeShares(long intervalStart) {
         TreeMap<String, Long> openWork = workByInterval.peekLast();
         TreeMap<String, Long> megabyteMillisByTenant = LargestRemainder.divide(megabyteMillis, weights());
--- a/decisions/src/main/java/pearladder/metering/LargestRemainder.java
+++ b/decisions/src/main/java/pearladder/metering/LargestRemainder.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Divides a whole number by weights into whole parts that sum exactly to it (largest remainder, also called Hamilton's
- * method). Equal remainders go by name, so that the result depends on nothing else.
+ * Divides an integer by weights into integer parts that sum exactly to it (largest remainder method, also called
+ * Hamilton's method). Equal remainders are ordered by name, so that the result depends on nothing else.
  */
 final class LargestRemainder {
     private record Remainder(String name, BigInteger value) {}
@@ -17,10 +17,10 @@
     private LargestRemainder() {}
 
     /**
-     * The part of each name.
+     * Returns the part of each name.
      *
-     * @param whole not negative
-     * @param weights at least one, each above zero
+     * @param whole number to divide, not negative
+     * @param weights weights by name; at least one, each above zero
      */
     static TreeMap<String, Long> divide(long whole, TreeMap<String, Long> weights) {
         BigInteger weightSum =
--- a/decisions/src/main/java/pearladder/metering/UsageAccounting.java
+++ b/decisions/src/main/java/pearladder/metering/UsageAccounting.java
@@ -9,21 +9,22 @@
 import java.util.TreeMap;
 
 /**
- * Divides the memory that models hold among tenants. Observations go in through {@link #on}, in the order of time but
- * for a stated lateness; the shares of intervals that are over come out; {@link #finish} closes what is left. Times in
- * milliseconds.
+ * Divides the memory that models hold among tenants. Observations are passed to {@link #on} in the order of time, up to
+ * a maximum lateness; it returns the shares of completed intervals, and {@link #finish} the remaining ones. Times are
+ * in milliseconds.
  *
  * <p>An instance counts from the start of its load until the worker reports that it is gone, its process ends, or
- * nothing renewed it for the idle timeout. The memory of an interval on a worker is divided by the work of the
- * tenants' requests there, in it and the four before it, so that one request in a quiet minute pays for its own work
- * and not for the minute. Where no request has run yet, the tenant pays whose request started the load. Shares are
- * whole numbers ({@link LargestRemainder}): they sum to the whole, in whatever order the event logs are merged.
+ * nothing renewed it for the idle timeout. The memory of an interval on a worker is divided by the work of the tenants'
+ * requests there, in that interval and the four before it, so that one request in a quiet minute is charged for its own
+ * work and not for the minute. While no request has run yet, the tenant whose request started the load is charged.
+ * Shares are integers ({@link LargestRemainder}) that sum exactly to the total, in whatever order the event logs are
+ * merged.
  */
 public final class UsageAccounting {
     private static final long NOT_STARTED = Long.MIN_VALUE;
 
-    /** The last key is arbitrary but complete, so that the order of equal times does not depend on the merging. */
-    private static final Comparator<InstanceObservation> IN_ORDER = Comparator.comparingLong(
+    /** The last key is arbitrary but complete, so that the order at equal times does not depend on the merging. */
+    private static final Comparator<InstanceObservation> BY_TIME_AND_TYPE = Comparator.comparingLong(
                     InstanceObservation::atMillis)
             .thenComparing(UsageAccounting::orderAtSameTime)
             .thenComparing(InstanceObservation::router)
@@ -32,13 +33,13 @@
     private final long interval;
     private final long idleTimeout;
     private final long maxLateness;
-    /** Observations that an earlier one may still precede. */
-    private final PriorityQueue<InstanceObservation> waiting = new PriorityQueue<>(IN_ORDER);
+    /** Observations before which an earlier one may still be received. */
+    private final PriorityQueue<InstanceObservation> waiting = new PriorityQueue<>(BY_TIME_AND_TYPE);
     /** By worker and model. */
     private final TreeMap<String, InstanceUsage> usages = new TreeMap<>();
-    /** Megabytes of an instance by model. */
+    /** Memory of one instance by model, megabytes. */
     private final Map<String, Long> memoryMb = new HashMap<>();
-    /** Shares that the method being run returns. */
+    /** Shares that the current call returns. */
     private List<UsageShare> shares = new ArrayList<>();
 
     private long intervalStart = NOT_STARTED;
@@ -50,7 +51,7 @@
      *
      * @param interval length of the intervals that are divided, milliseconds
      * @param idleTimeout time for which idle instances are kept, milliseconds
-     * @param maxLateness most by which an observation may come after a newer one, milliseconds
+     * @param maxLateness maximum time by which an observation may be older than one passed before it, milliseconds
      */
     public UsageAccounting(long interval, long idleTimeout, long maxLateness) {
         this.interval = interval;
@@ -58,7 +59,7 @@
         this.maxLateness = maxLateness;
     }
 
-    /** Takes in an observation; returns the shares of intervals that can't change any more. */
+    /** Handles an observation; returns the shares of intervals that can't change any more. */
     public List<UsageShare> on(InstanceObservation observation) {
         shares = new ArrayList<>();
         waiting.add(observation);
@@ -69,7 +70,7 @@
         return shares;
     }
 
-    /** No more observations come; returns the remaining shares, of all usage up to a time. */
+    /** Ends the observations; returns the remaining shares, of all usage up to a time. */
     public List<UsageShare> finish(long untilMillis) {
         shares = new ArrayList<>();
         while (!waiting.isEmpty()) {
@@ -85,7 +86,7 @@
         return shares;
     }
 
-    /** Number of observations that came later than the stated lateness; they count in the first open interval. */
+    /** Returns the number of observations beyond the maximum lateness; they count in the first open interval. */
     public long lateObservationCount() {
         return lateCount;
     }
@@ -94,7 +95,7 @@
         return usages.values().stream().anyMatch(InstanceUsage::hasOpenUsage);
     }
 
-    /** At the same time, what ends instances goes before what begins them, and reports go before work. */
+    /** Orders observations of one time: those that end instances before those that start them, reports before work. */
     private static int orderAtSameTime(InstanceObservation observation) {
         if (observation instanceof InstanceObservation.ModelMemoryKnown) {
             return 0;
@@ -156,7 +157,7 @@
         }
     }
 
-    /** The usage of a model on a worker, counted up to a time. */
+    /** Returns the usage of a model on a worker, counted up to a time. */
     private InstanceUsage usage(String worker, String model, long time) {
         InstanceUsage usage =
                 usages.computeIfAbsent(worker + "\n" + model, key -> new InstanceUsage(worker, model, idleTimeout));
--- a/decisions/src/test/java/pearladder/metering/LargestRemainderTest.java
+++ b/decisions/src/test/java/pearladder/metering/LargestRemainderTest.java
@@ -9,7 +9,7 @@
 
 class LargestRemainderTest {
     @Test
-    void givesTheRestByNameWhenRemaindersAreEqual() {
+    void ordersEqualRemaindersByName() {
         TreeMap<String, Long> weights = new TreeMap<>(Map.of("a", 1L, "b", 1L, "c", 1L));
         assertEquals(Map.of("a", 34L, "b", 33L, "c", 33L), LargestRemainder.divide(100, weights));
     }
--- a/decisions/src/test/java/pearladder/metering/MillisecondUsage.java
+++ b/decisions/src/test/java/pearladder/metering/MillisecondUsage.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The total memory usage computed another way: every millisecond of every worker and model is looked at by itself. */
+/** Computes the total memory usage independently, by evaluating every millisecond of every worker and model. */
 final class MillisecondUsage {
     private final String worker;
     private final String model;
@@ -20,7 +20,7 @@
         this.idleTimeout = idleTimeout;
     }
 
-    /** Megabytes times milliseconds of workers e0 to e2 and models m0 to m2, from 0 to a time. */
+    /** Returns the megabytes times milliseconds of workers e0 to e2 and models m0 to m2, from 0 to a time. */
     static long total(List<InstanceObservation> observations, long idleTimeout, long until) {
         List<InstanceObservation> sorted = new ArrayList<>(observations);
         sorted.sort(Comparator.comparingLong(InstanceObservation::atMillis)
@@ -48,40 +48,40 @@
             for (; next < sorted.size() && sorted.get(next).atMillis() == now; next++) {
                 apply(sorted.get(next), now);
             }
-            sum += present(now);
+            sum += instancesAt(now);
         }
         return sum;
     }
 
-    private int present(long now) {
+    private int instancesAt(long now) {
         return now < renewedAt + idleTimeout ? instances : 0;
     }
 
     private void apply(InstanceObservation observation, long now) {
-        int before = present(now);
+        int before = instancesAt(now);
         if (observation instanceof InstanceObservation.WorkerGone gone
                 && gone.worker().equals(worker)) {
-            set(0, now);
+            setInstances(0, now);
         } else if (observation instanceof InstanceObservation.LoadFailed failed
-                && isHere(failed.worker(), failed.model())) {
-            set(Math.max(0, before - 1), now);
+                && isSameWorkerAndModel(failed.worker(), failed.model())) {
+            setInstances(Math.max(0, before - 1), now);
         } else if (observation instanceof InstanceObservation.LoadStarted started
-                && isHere(started.worker(), started.model())) {
-            set(Math.max(1, before), now);
+                && isSameWorkerAndModel(started.worker(), started.model())) {
+            setInstances(Math.max(1, before), now);
         } else if (observation instanceof InstanceObservation.WorkReported worked
-                && isHere(worked.worker(), worked.model())) {
-            set(Math.max(1, before), now);
+                && isSameWorkerAndModel(worked.worker(), worked.model())) {
+            setInstances(Math.max(1, before), now);
         } else if (observation instanceof InstanceObservation.InstancesReported reported
-                && isHere(reported.worker(), reported.model())) {
-            set(reported.instances(), now);
+                && isSameWorkerAndModel(reported.worker(), reported.model())) {
+            setInstances(reported.instances(), now);
         }
     }
 
-    private boolean isHere(String otherWorker, String otherModel) {
+    private boolean isSameWorkerAndModel(String otherWorker, String otherModel) {
         return otherWorker.equals(worker) && otherModel.equals(model);
     }
 
-    private void set(int count, long now) {
+    private void setInstances(int count, long now) {
         instances = count;
         renewedAt = now;
     }
--- a/decisions/src/test/java/pearladder/metering/UsageAccountingRandomizedTest.java
+++ b/decisions/src/test/java/pearladder/metering/UsageAccountingRandomizedTest.java
@@ -30,7 +30,7 @@
                     MillisecondUsage.total(observations, IDLE_TIMEOUT, 7 * MINUTE),
                     shares.stream().mapToLong(UsageShare::megabyteMillis).sum(),
                     "seed " + seed);
-            checkMoreWorkNeverCostsLess(observations, shares, random, seed);
+            checkMoreWorkNeverLowersTheShare(observations, shares, random, seed);
         }
     }
 
@@ -67,22 +67,27 @@
         };
     }
 
-    private static void checkMoreWorkNeverCostsLess(
+    private static void checkMoreWorkNeverLowersTheShare(
             List<InstanceObservation> observations, List<UsageShare> shares, Random random, int seed) {
-        InstanceObservation.WorkReported some = (InstanceObservation.WorkReported) observations.stream()
+        InstanceObservation.WorkReported repeated = (InstanceObservation.WorkReported) observations.stream()
                 .filter(InstanceObservation.WorkReported.class::isInstance)
                 .skip(random.nextInt(20))
                 .findFirst()
                 .orElseThrow();
-        List<InstanceObservation> more = new ArrayList<>(observations);
-        more.add(new InstanceObservation.WorkReported(
-                some.atMillis(), some.router(), some.worker(), some.model(), some.tenant(), 50_000));
-        long before = amount(shares, some.tenant());
+        List<InstanceObservation> withMoreWork = new ArrayList<>(observations);
+        withMoreWork.add(new InstanceObservation.WorkReported(
+                repeated.atMillis(),
+                repeated.router(),
+                repeated.worker(),
+                repeated.model(),
+                repeated.tenant(),
+                50_000));
+        long before = megabyteMillis(shares, repeated.tenant());
         assertTrue(before > 0, "seed " + seed);
-        assertTrue(amount(shares(more), some.tenant()) >= before, "seed " + seed);
+        assertTrue(megabyteMillis(shares(withMoreWork), repeated.tenant()) >= before, "seed " + seed);
     }
 
-    private static long amount(List<UsageShare> shares, String tenant) {
+    private static long megabyteMillis(List<UsageShare> shares, String tenant) {
         return shares.stream()
                 .filter(share -> share.tenant().equals(tenant))
                 .mapToLong(UsageShare::megabyteMillis)
--- a/decisions/src/test/java/pearladder/metering/UsageAccountingTest.java
+++ b/decisions/src/test/java/pearladder/metering/UsageAccountingTest.java
@@ -22,10 +22,10 @@
         return shares;
     }
 
-    private static Map<String, Long> amountByTenant(List<UsageShare> shares) {
+    private static Map<String, Long> megabyteMillisByTenant(List<UsageShare> shares) {
         Map<String, Long> sums = new TreeMap<>();
         shares.forEach(share -> sums.merge(share.tenant(), share.megabyteMillis(), Long::sum));
-        sums.values().removeIf(amount -> amount == 0);
+        sums.values().removeIf(sum -> sum == 0);
         return sums;
     }
 
@@ -41,7 +41,7 @@
     void countsAnInstanceFromTheStartOfItsLoadToTheIdleTimeout() {
         assertEquals(
                 Map.of("tender", 100L * (5_000 + IDLE_TIMEOUT)),
-                amountByTenant(shares(
+                megabyteMillisByTenant(shares(
                         List.of(
                                 memory("m", 100),
                                 new InstanceObservation.LoadStarted(1_000, "r1", "e1", "m", "tender", 0),
@@ -53,7 +53,7 @@
     void countsTheWholeOfALoadThatTakesLongerThanTheIdleTimeout() {
         assertEquals(
                 Map.of("tender", 100L * (30_000 + 500 + IDLE_TIMEOUT)),
-                amountByTenant(shares(
+                megabyteMillisByTenant(shares(
                         List.of(
                                 memory("m", 100),
                                 new InstanceObservation.LoadStarted(1_000, "r1", "e1", "m", "tender", 30_000),
@@ -65,7 +65,7 @@
     void stopsCountingWhenALoadFails() {
         assertEquals(
                 Map.of("tender", 100L * 2_000),
-                amountByTenant(shares(
+                megabyteMillisByTenant(shares(
                         List.of(
                                 memory("m", 100),
                                 new InstanceObservation.LoadStarted(1_000, "r1", "e1", "m", "tender", 0),
@@ -77,7 +77,7 @@
     void stopsCountingWhenTheWorkerIsGone() {
         assertEquals(
                 Map.of("tender", 100L * 6_000),
-                amountByTenant(shares(
+                megabyteMillisByTenant(shares(
                         List.of(
                                 memory("m", 100),
                                 new InstanceObservation.LoadStarted(1_000, "r1", "e1", "m", "tender", 0),
@@ -92,13 +92,19 @@
                 memory("m", 100),
                 new InstanceObservation.LoadStarted(1_000, "r1", "e1", "m", "tender", 0),
                 worked(2_000, "r1", "tender", 9)));
-        assertEquals(100L * 11_000, amountByTenant(shares(observations, MINUTE)).get("tender"));
-        // Another router reached it all the time.
+        assertEquals(
+                100L * 11_000,
+                megabyteMillisByTenant(shares(observations, MINUTE)).get("tender"));
+        // Another router could reach the worker all the time.
         observations.add(worked(9_000, "r2", "tender", 9));
-        assertEquals(100L * 18_000, amountByTenant(shares(observations, MINUTE)).get("tender"));
-        // At last the endpoint list tells when it died.
+        assertEquals(
+                100L * 18_000,
+                megabyteMillisByTenant(shares(observations, MINUTE)).get("tender"));
+        // The endpoint list later reports when the worker ended.
         observations.add(new InstanceObservation.WorkerGone(9_500, "r1", "e1"));
-        assertEquals(100L * 8_500, amountByTenant(shares(observations, MINUTE)).get("tender"));
+        assertEquals(
+                100L * 8_500,
+                megabyteMillisByTenant(shares(observations, MINUTE)).get("tender"));
     }
 
     @Test
@@ -108,11 +114,11 @@
         for (long at = 1_000; at < 5 * MINUTE; at += 1_000) {
             observations.add(worked(at, "r1", "big", 1_000));
         }
-        long alone = amountByTenant(shares(observations, 10 * MINUTE)).get("big");
+        long alone = megabyteMillisByTenant(shares(observations, 10 * MINUTE)).get("big");
         observations.add(worked(4 * MINUTE + 500, "r1", "small", 1_000));
-        Map<String, Long> both = amountByTenant(shares(observations, 10 * MINUTE));
+        Map<String, Long> both = megabyteMillisByTenant(shares(observations, 10 * MINUTE));
         assertEquals(alone, both.get("big") + both.get("small"));
-        // One request of some three hundred, in the last of five minutes.
+        // One of about three hundred requests, in the last of five minutes.
         assertTrue(both.get("small") < alone / 300, both + " of " + alone);
         assertTrue(both.get("small") > 0);
     }
@@ -121,7 +127,7 @@
     void chargesNoTenantForUnusedInstancesLoadedAheadOfRequests() {
         assertEquals(
                 Map.of("", 100L * IDLE_TIMEOUT),
-                amountByTenant(shares(
+                megabyteMillisByTenant(shares(
                         List.of(memory("m", 100), new InstanceObservation.LoadStarted(1_000, "r1", "e1", "m", "", 0)),
                         10 * MINUTE)));
     }
@@ -130,7 +136,7 @@
     void countsEachInstanceThatTheWorkerReports() {
         assertEquals(
                 Map.of("tender", 100L * (4_000 + 3 * 2_000)),
-                amountByTenant(shares(
+                megabyteMillisByTenant(shares(
                         List.of(
                                 memory("m", 100),
                                 new InstanceObservation.LoadStarted(1_000, "r1", "e1", "m", "tender", 0),
