--- a/decisions/src/main/java/pearladder/baseline/RandomChoice.java
+++ b/decisions/src/main/java/pearladder/baseline/RandomChoice.java
@@ -16,12 +16,12 @@
 import pearladder.routing.state.SeededRandom;
 
 /**
- * A baseline to compare the policy with: each request goes to a worker drawn at random among those in service; one
- * that is known not to have been executed is sent once more. No router serves with it.
+ * Baseline to compare the routing policy with: sends each request to a random worker in service, and retries it once if
+ * it is known not to have been executed. No router serves requests with it.
  */
 public final class RandomChoice implements RoutingPolicy {
     private static final int MAX_ATTEMPTS = 2;
-    private static final TimeSpan ENDPOINTS_RETRY = TimeSpan.millis(300);
+    private static final TimeSpan ENDPOINTS_RETRY_DELAY = TimeSpan.millis(300);
 
     private static final class OpenRequest {
         final MonotonicTime deadlineAt;
@@ -40,7 +40,7 @@
     private final Map<String, OpenRequest> requests = new HashMap<>();
     private List<String> inService = List.of();
 
-    /** @param seed selects the sequence of random draws */
+    /** @param seed seed of the random choices */
     public RandomChoice(long seed, RoutingSettings settings) {
         this.random = new SeededRandom(seed);
         this.settings = settings;
@@ -83,9 +83,9 @@
             send(now, event.requestId(), request, actions);
         } else {
             requests.remove(event.requestId());
-            boolean harmless = event.outcome().neverExecuted || request.idempotency == Idempotency.RETRIABLE;
+            boolean isSafeToRetry = event.outcome().neverExecuted || request.idempotency == Idempotency.RETRIABLE;
             actions.add(
-                    harmless
+                    isSafeToRetry
                             ? new Action.Reject(event.requestId(), TimeSpan.ZERO)
                             : new Action.Fail(event.requestId()));
         }
@@ -106,7 +106,7 @@
 
     private void onEndpointsUpdated(MonotonicTime now, Event.EndpointsUpdated update, List<Action> actions) {
         if (update.kind() == Event.EndpointUpdateKind.FAILED) {
-            actions.add(new Action.SetTimer(now.plus(ENDPOINTS_RETRY), "list"));
+            actions.add(new Action.SetTimer(now.plus(ENDPOINTS_RETRY_DELAY), "list"));
             return;
         }
         if (update.kind() != Event.EndpointUpdateKind.DELTA) {
--- a/decisions/src/main/java/pearladder/baseline/package-info.java
+++ b/decisions/src/main/java/pearladder/baseline/package-info.java
@@ -1,2 +1,2 @@
-/** Simple policies to compare the routing policy with; no router serves with them. */
+/** Simple baselines to compare the routing policy with; no router serves requests with them. */
 package pearladder.baseline;
