--- a/router-core/src/main/java/pearladder/router/core/ActiveAttempt.java
+++ b/router-core/src/main/java/pearladder/router/core/ActiveAttempt.java
@@ -7,16 +7,16 @@
 /** One attempt to have a request executed by a worker. */
 public final class ActiveAttempt {
     public final ActiveRequest request;
-    /** Counts the attempts of a request, from 0. */
+    /** The attempt's number within its request, from 0. */
     public final int number;
 
     public final String worker;
     final MonotonicTime sentAt;
-    /** Its worker is known to be in service up to then; null where nothing bounds it. */
+    /** The time until which the worker is known to be in service; null if there is no such limit. */
     final MonotonicTime sendBefore;
 
     private final DeliveryGate gate;
-    /** Null until the worker client has taken the attempt. */
+    /** Null until the worker client has accepted the attempt. */
     WorkerClient.PendingSend pendingSend;
 
     boolean ended;
@@ -34,24 +34,24 @@
         this.gate = gate;
     }
 
-    /** The attempt has ended; it does so once. */
+    /** Records the end of the attempt; called once. */
     void onEnded(Outcome outcome, MonotonicTime now) {
         this.ended = true;
         this.outcome = outcome;
         this.endedAt = now;
     }
 
-    /** Asked just before its first byte is written: whether that may still happen. */
+    /** Returns whether the attempt may still be written to its worker; called just before its first byte is written. */
     public boolean mayBeWritten() {
         return gate.mayWrite(this);
     }
 
-    /** Whether the worker may have executed the request, or still may. */
+    /** Returns whether the worker may have executed the request, or may still execute it. */
     boolean mayHaveBeenExecuted() {
         return !ended || !outcome.neverExecuted;
     }
 
-    /** Stops waiting for the response; what the worker executes goes on or is cancelled there. */
+    /** Stops waiting for the response; the worker continues the execution or cancels it. */
     void cancel() {
         if (isPending()) {
             pendingSend.cancel();
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Ends the attempt if nothing of it has been sent yet. Guards against an attempt that leaves after its request
+     * Ends the attempt if none of it has been sent yet. Guards against an attempt that is sent after its request
      * was completed because its connection was established late.
      */
     void cancelUnsent() {
--- a/router-core/src/main/java/pearladder/router/core/CompletionListener.java
+++ b/router-core/src/main/java/pearladder/router/core/CompletionListener.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Told how a request ended. One of the two methods is called, once. */
+/** Receives the end of a request. Exactly one of the two methods is called, once. */
 public interface CompletionListener {
-    /** Ignores the end. */
+    /** A listener that does nothing. */
     CompletionListener NONE = new CompletionListener() {
         @Override
         public void onCompleted(boolean successful, List<String> workers) {
@@ -18,13 +18,13 @@
     };
 
     /**
-     * The request was answered.
+     * Called when the request was answered.
      *
-     * @param successful whether it succeeded within its latency objective and no attempt had a worker's error
-     * @param workers that were sent an attempt
+     * @param successful whether it succeeded within its latency objective and no attempt ended with a worker's error
+     * @param workers the workers that were sent an attempt
      */
     void onCompleted(boolean successful, List<String> workers);
 
-    /** The client disconnected before its request was answered. */
+    /** Called when the client disconnected before its request was answered. */
     void onClientDisconnected();
 }
--- a/router-core/src/main/java/pearladder/router/core/CompletionStatus.java
+++ b/router-core/src/main/java/pearladder/router/core/CompletionStatus.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 
-/** How a request was answered: each request that a router takes gets one final answer. */
+/** The kind of final answer to a request; each request that a router admits gets exactly one. */
 public enum CompletionStatus {
-    /** The client got a worker's response. */
+    /** The client received a worker's response. */
     SUCCEEDED("settled"),
-    /** Not executed; a retry is harmless. */
+    /** The request was not executed; a retry is safe. */
     REJECTED("dismissed"),
-    /** Not answered by a worker; whether it took effect is unknown. */
+    /** No worker responded; whether the request took effect is unknown. */
     FAILED("terminated");
 
     private final String code;
@@ -17,12 +17,12 @@
         this.code = code;
     }
 
-    /** The word for this status in metrics and in the event log; stable across versions. */
+    /** Returns the name of this status in metrics and in the event log; stable across versions. */
     public String code() {
         return code;
     }
 
-    /** The code in capitals, as logs have always shown it. */
+    /** Returns the code in upper case, as the log files of all versions contain it. */
     @Override
     public String toString() {
         return code.toUpperCase(Locale.ROOT);
--- a/router-core/src/main/java/pearladder/router/core/DeliveryGate.java
+++ b/router-core/src/main/java/pearladder/router/core/DeliveryGate.java
@@ -9,9 +9,9 @@
 import pearladder.routing.api.Action;
 
 /**
- * The one place that is asked before an attempt is started or written, a request is answered, a load request is sent,
- * or something that may owe answers is closed. It asks the {@link DeliveryRules}, counts what they refuse, and logs
- * the first of each kind with the request's id. Confined to the event loop.
+ * Applies the {@link DeliveryRules} to every operation that they restrict: starting or writing an attempt, answering a
+ * request, sending a load request, and closing a resource that may have unanswered requests. Counts refused operations
+ * by reason and logs the first one for each reason with the request's id. Confined to the event loop.
  */
 public final class DeliveryGate {
     private static final Logger LOG = LoggerFactory.getLogger(DeliveryGate.class);
@@ -20,32 +20,32 @@
     private final DeliveryRules rules;
     private final Map<Verdict, Long> refusals = new EnumMap<>(Verdict.class);
 
-    /** @param maxAttempts of one request */
+    /** @param maxAttempts maximum number of attempts of one request */
     DeliveryGate(Timers timers, int maxAttempts) {
         this.timers = timers;
         this.rules = new DeliveryRules(maxAttempts);
     }
 
-    /** Whether one more attempt of a request may be started now. */
+    /** Returns whether one more attempt of a request may be started now. */
     boolean mayStartAttempt(ActiveRequest request) {
-        return isAllowed(rules.onAttempt(request.deliveryState(), timers.now()), "an attempt", request);
+        return isAllowed(rules.onAttempt(request.deliveryState(), timers.now()), "an attempt of request", request);
     }
 
-    /** Whether the first byte of an attempt may be written now. */
+    /** Returns whether the first byte of an attempt may be written now. */
     boolean mayWrite(ActiveAttempt attempt) {
         return isAllowed(
                 rules.onWrite(attempt.request.deliveryState(), attempt.sendBefore, timers.now()),
-                "writing an attempt",
+                "writing an attempt of request",
                 attempt.request);
     }
 
-    /** Whether a request may be given its final answer now. */
+    /** Returns whether a request may be given its final answer now. */
     boolean mayAnswer(ActiveRequest request) {
-        // asked for each end that comes after the first one, which is no fault: not counted
+        // A refusal is expected for every attempt that ends after the request was answered, so it is not counted.
         return rules.onAnswer(request.deliveryState()).isAllowed();
     }
 
-    /** Whether a load request may be sent to its worker, or written to it, now. */
+    /** Returns whether a load request may be sent or written to its worker now. */
     boolean mayLoad(Action.LoadInstances request, WorkerClient workers) {
         Verdict verdict =
                 rules.onLoadRequest(workers.isInService(request.worker()), request.sendBefore(), timers.now());
@@ -53,25 +53,25 @@
         return verdict.isAllowed();
     }
 
-    /** Whether something may be closed that has so many unanswered requests. */
-    public boolean mayClose(int unansweredRequests, String what) {
+    /** Returns whether a resource with a number of unanswered requests may be closed. */
+    public boolean mayClose(int unansweredRequests, String resource) {
         Verdict verdict = rules.onClose(unansweredRequests);
-        count(verdict, "closing", what);
+        count(verdict, "closing", resource);
         return verdict.isAllowed();
     }
 
-    private boolean isAllowed(Verdict verdict, String what, ActiveRequest request) {
-        count(verdict, what, request.clientRequestId);
+    private boolean isAllowed(Verdict verdict, String operation, ActiveRequest request) {
+        count(verdict, operation, request.clientRequestId);
         return verdict.isAllowed();
     }
 
-    private void count(Verdict verdict, String what, String subject) {
+    private void count(Verdict verdict, String operation, String subject) {
         if (!verdict.isAllowed() && refusals.merge(verdict, 1L, Long::sum) == 1) {
-            LOG.warn("refused {} {}: {}; further ones are counted", what, subject, verdict.reason());
+            LOG.warn("refused {} {}: {}; further refusals are only counted", operation, subject, verdict.reason());
         }
     }
 
-    /** What was refused since the start, by reason. */
+    /** Returns the number of refused operations since the start, by reason. */
     public Map<Verdict, Long> refusals() {
         return Map.copyOf(refusals);
     }
--- a/router-core/src/main/java/pearladder/router/core/EventListener.java
+++ b/router-core/src/main/java/pearladder/router/core/EventListener.java
@@ -4,9 +4,9 @@
 import pearladder.routing.api.Outcome;
 import pearladder.routing.api.TimeSpan;
 
-/** Told what a router does, to keep a record of it. */
+/** Receives the events of a router that are to be recorded. */
 public interface EventListener {
-    /** Records nothing; load requests are sent at once. */
+    /** A listener that records nothing and permits every load request at once. */
     EventListener NONE = new EventListener() {
         @Override
         public void onRequestEnded(ActiveRequest request, String ending, TimeSpan duration) {
@@ -19,8 +19,8 @@
         }
 
         @Override
-        public void beforeLoadRequest(String worker, String function, int instances, Consumer<String> answer) {
-            answer.accept("");
+        public void beforeLoadRequest(String worker, String function, int instances, Consumer<String> callback) {
+            callback.accept("");
         }
 
         @Override
@@ -30,22 +30,35 @@
         }
     };
 
-    /** How {@link #onRequestEnded} names the end of a request whose client disconnected. */
+    /** The value of {@code ending} in {@link #onRequestEnded} for a request whose client disconnected. */
     String CLIENT_DISCONNECTED = "left";
 
-    /** @param ending the {@linkplain CompletionStatus#code() code} of its status, or {@link #CLIENT_DISCONNECTED} */
+    /**
+     * Called when a request has ended.
+     *
+     * @param ending the {@linkplain CompletionStatus#code() code} of its status, or {@link #CLIENT_DISCONNECTED}
+     */
     void onRequestEnded(ActiveRequest request, String ending, TimeSpan duration);
 
-    /** @param response null where no complete response came */
+    /**
+     * Called when an attempt has ended.
+     *
+     * @param response null if no complete response was received
+     */
     void onAttemptEnded(ActiveAttempt attempt, Outcome outcome, WorkerResponse response, TimeSpan duration);
 
     /**
-     * A load request is about to be sent.
+     * Called before a load request is sent; the request waits for the callback.
      *
-     * @param answer called once, now or later: empty where the request may be sent, or says why it must not
+     * @param callback called once, now or later, with an empty string if the request may be sent, otherwise with
+     *     the reason why it must not
      */
-    void beforeLoadRequest(String worker, String function, int instances, Consumer<String> answer);
+    void beforeLoadRequest(String worker, String function, int instances, Consumer<String> callback);
 
-    /** @param instances that are loaded on the worker now, as it says */
+    /**
+     * Called when a load request has ended.
+     *
+     * @param instances the number of instances that are loaded on the worker now, as the worker reports it
+     */
     void onLoadRequestEnded(String worker, String function, Outcome outcome, int instances, TimeSpan duration);
 }
--- a/router-core/src/main/java/pearladder/router/core/EventLoopActivity.java
+++ b/router-core/src/main/java/pearladder/router/core/EventLoopActivity.java
@@ -5,11 +5,11 @@
 import java.util.StringJoiner;
 
 /**
- * Adds up what an event loop spends its time on, so that a stall can be explained in the log. The time of a nested
- * activity counts for that one only. Confined to the event loop.
+ * Sums up the time that an event loop spends on each activity, so that the log can explain a stall. The time of a
+ * nested activity is not added to the enclosing one. Confined to the event loop.
  */
 public final class EventLoopActivity {
-    /** What an event loop may be occupied with. */
+    /** The activities of an event loop. */
     public enum Activity {
         CLIENT_CONNECTIONS,
         CLIENT_INPUT,
@@ -19,7 +19,7 @@
         TIMERS,
         POLICY,
         SOCKET_WRITES,
-        /** Everything else: the network library, the collector, the compiler, waits for the processor, idle time. */
+        /** Everything else: network library, garbage collector, JIT compiler, waiting for a processor, idle time. */
         OTHER;
 
         private final String label = name().toLowerCase(Locale.ROOT).replace('_', ' ');
@@ -32,7 +32,7 @@
     private Activity current = Activity.OTHER;
     private long chargedUntilNanos = System.nanoTime();
 
-    /** Runs a task and counts its time for an activity. */
+    /** Runs a task and adds its time to an activity. */
     public void run(Activity activity, Runnable task) {
         Activity outer = current;
         switchTo(activity);
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Counts a part of the current activity, which took so many nanoseconds, for another one. */
+    /** Moves {@code partNanos} nanoseconds from the current activity to another one. */
     public void reassign(Activity activity, long partNanos) {
         nanos[current.ordinal()] -= partNanos;
         nanos[activity.ordinal()] += partNanos;
@@ -58,14 +58,14 @@
         current = next;
     }
 
-    /** Starts the sums anew. */
+    /** Resets all sums and counts to zero. */
     public void reset() {
         Arrays.fill(nanos, 0);
         Arrays.fill(counts, 0);
         chargedUntilNanos = System.nanoTime();
     }
 
-    /** The sums since the last {@link #reset}, in milliseconds, with the number of runs; the shortest are left out. */
+    /** Returns the sums since the last {@link #reset} in milliseconds with run counts; omits those below 1 ms. */
     public String summary() {
         switchTo(current);
         StringJoiner summary = new StringJoiner(", ");
--- a/router-core/src/main/java/pearladder/router/core/EventLoopLag.java
+++ b/router-core/src/main/java/pearladder/router/core/EventLoopLag.java
@@ -5,21 +5,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Measures how late the event loop runs. A request that is read now may have waited that long in its socket,
- * unseen, and a response may leave that much later than decided; deadlines that ignored this would be too generous
- * on a busy router. A stall is logged with what the loop did meanwhile. Confined to the event loop.
+ * Measures event-loop lag. A request that is read now may have waited in its socket for the duration of the lag, and
+ * a response may be written that much later than decided, so deadlines that ignored the lag would be too late on a
+ * busy router. A stall is logged with the activities of the loop during it. Confined to the event loop.
  */
 public final class EventLoopLag {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoopLag.class);
-    /** A tenth of the 50 ms by which platforms allow a timer to be late. */
+    /** A tenth of the 50 ms by which platforms allow timers to be late. */
     private static final long TICK_MILLIS = 5;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** Timers run in whole milliseconds, so a tick that is up to this late is on time. */
+    /** Timers have a resolution of one millisecond, so a tick that is late by up to this counts as on time. */
     private static final long TIMER_RESOLUTION_NANOS = NANOS_PER_MILLI;
-    /** What remains of an earlier lateness after each tick. */
+    /** The factor by which the recent lag decays with each tick. */
     private static final double DECAY_PER_TICK = 0.9;
-    /** A tick that is later than this is logged as a stall; twice the slack that platforms allow a timer. */
+    /** A tick that is late by more than this is logged as a stall; twice the lateness that platforms allow timers. */
     private static final long STALL_NANOS = 100 * NANOS_PER_MILLI;
 
     private final Vertx vertx;
@@ -29,13 +29,13 @@
     private double longestLagNanos;
     private long stalls;
 
-    /** Creates a measurement that starts with {@link #start}; its stalls are explained by the loop's activity. */
+    /** Creates a measurement that starts with {@link #start} and logs stalls with the loop's activity. */
     public EventLoopLag(Vertx vertx, EventLoopActivity activity) {
         this.vertx = vertx;
         this.activity = activity;
     }
 
-    /** Starts measuring; called on the event loop. */
+    /** Starts the measurement; called on the event loop. */
     public void start() {
         activity.reset();
         nextTickAtNanos = System.nanoTime() + TICK_MILLIS * NANOS_PER_MILLI;
@@ -55,12 +55,12 @@
         }
     }
 
-    /** Nanoseconds: the greater of the recent lag and the lateness of the tick that is overdue now. */
+    /** Returns the greater of the recent lag and the lateness of a tick that is overdue now, in nanoseconds. */
     public long lagNanos() {
         return Math.round(Math.max(recentLagNanos, System.nanoTime() - nextTickAtNanos - TIMER_RESOLUTION_NANOS));
     }
 
-    /** The number of stalls and the longest lag so far, for the log. */
+    /** Returns the number of stalls and the longest lag so far, for the log. */
     public String summary() {
         return stalls + " stalls, longest lag " + Math.round(longestLagNanos / NANOS_PER_MILLI) + " ms";
     }
--- a/router-core/src/main/java/pearladder/router/core/PolicyDriver.java
+++ b/router-core/src/main/java/pearladder/router/core/PolicyDriver.java
@@ -12,15 +12,15 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Passes events to the routing policy and its actions to an {@link ActionHandler}, one event after the other: an
- * event that an action causes at once waits until the actions before it are done.
+ * Passes events to the routing policy and its actions to an {@link ActionHandler}, one event after the other. An
+ * event that is caused by an action is queued until the remaining actions of the current event are executed.
  */
 final class PolicyDriver {
     private static final Logger LOG = LoggerFactory.getLogger("pearladder.decisions");
-    /** After so long the policy gets a timer again on which it failed. */
+    /** Delay after which a timer event on which the policy failed is dispatched again. */
     private static final TimeSpan TIMER_RETRY_DELAY = TimeSpan.millis(100);
 
-    /** Executes the policy's actions, except its timers and log lines. */
+    /** Executes the policy's actions except timers and log lines. */
     interface ActionHandler {
         void send(Action.SendAttempt action);
 
@@ -61,13 +61,13 @@
         this.actionHandler = actionHandler;
     }
 
-    /** Cancels the timers; later events do not reach the policy. */
+    /** Cancels all timers; later events are not passed to the policy. */
     void stop() {
         stopped = true;
         activeTimers.forEach(Timers.Timer::cancel);
     }
 
-    /** Has the policy handle an event, now or, where it is handling another one, after that one's actions. */
+    /** Passes an event to the policy, either now or, while another event is handled, after that event's actions. */
     void dispatch(Event event) {
         pendingEvents.add(event);
         if (dispatching || stopped) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /** The policy's actions on an event; none where it failed. */
+    /** Returns the policy's actions for an event; none if the policy threw an exception. */
     private List<Action> decide(Event event) {
         List<Action> actions;
         long startedAt = System.nanoTime();
@@ -97,9 +97,9 @@
         return actions;
     }
 
-    /** Guards against a request that is never answered because the policy failed on it: the request fails then. */
+    /** Fails the request of an event on which the policy failed, as it would otherwise never be answered. */
     private void onPolicyFailure(Event event, RuntimeException failure) {
-        LOG.error("the policy failed on {}", event, failure);
+        LOG.error("the policy threw an exception on event {}", event, failure);
         if (event instanceof Event.RequestArrived arrived) {
             actionHandler.fail(new Action.Fail(arrived.requestId()));
         } else if (event instanceof Event.AttemptEnded attemptEnded && !attemptEnded.requestCompleted()) {
@@ -109,12 +109,12 @@
         }
     }
 
-    /** Guards the actions after one that failed: each of them may be the answer of a request. */
+    /** Executes an action and logs its failure, so that later actions, which may answer requests, are executed. */
     private void executeGuarded(Action action) {
         try {
             execute(action);
         } catch (RuntimeException failure) {
-            LOG.error("an action of the policy failed: {}", action, failure);
+            LOG.error("failed to execute action {} of the policy", action, failure);
         }
     }
 
@@ -147,11 +147,11 @@
             LOG.info(log.text());
             metrics.onModeChange(log.text());
         } else {
-            LOG.warn("this router can't execute {}", action);
+            LOG.warn("this router does not support action {}", action);
         }
     }
 
-    /** Timers run in whole milliseconds: one fires at its time or up to a millisecond later. */
+    /** Sets a timer; with a resolution of one millisecond, it fires at its due time or up to a millisecond later. */
     private void setTimer(Action.SetTimer action) {
         Timers.Timer[] timer = {null};
         TimeSpan delay = action.dueAt().since(timers.now()).atLeast(TimeSpan.ZERO);
--- a/router-core/src/main/java/pearladder/router/core/RequestLog.java
+++ b/router-core/src/main/java/pearladder/router/core/RequestLog.java
@@ -7,26 +7,26 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Logs how requests ended, by the clients' ids: those that ended after their deadline always, all others only where
- * {@code -Dpearladder.trace=requests} is set.
+ * Logs the ends of requests with the clients' request ids: always for requests that ended after their deadline, for
+ * others only if {@code -Dpearladder.trace=requests} is set.
  */
 final class RequestLog {
     private static final Logger LOG = LoggerFactory.getLogger(RequestLog.class);
     private static final Logger TRACE = LoggerFactory.getLogger("pearladder.trace.requests");
-    /** A timer may be late by this much without a word; platforms allow a router the same. */
-    private static final TimeSpan SLACK = TimeSpan.millis(50);
+    /** An end that exceeds the deadline by less than this is not logged; platforms allow timers the same lateness. */
+    private static final TimeSpan DEADLINE_TOLERANCE = TimeSpan.millis(50);
 
     private RequestLog() {}
 
-    /** A request has its final answer, or its client has gone. */
+    /** Logs a request that was answered or whose client has disconnected. */
     static void onEnded(ActiveRequest request, String ending, MonotonicTime now) {
-        if (now.isBefore(request.deadlineAt.plus(SLACK))) {
+        if (now.isBefore(request.deadlineAt.plus(DEADLINE_TOLERANCE))) {
             if (TRACE.isTraceEnabled()) {
                 TRACE.trace("{}", describe(request, ending, now));
             }
         } else {
             LOG.warn(
-                    "{} ms after its deadline: {}",
+                    "request ended {} ms after its deadline: {}",
                     now.since(request.deadlineAt).toMillis(),
                     describe(request, ending, now));
         }
@@ -44,7 +44,7 @@
         return text.toString();
     }
 
-    private static long millis(ActiveRequest request, MonotonicTime moment) {
-        return moment.since(request.admittedAt).toMillis();
+    private static long millis(ActiveRequest request, MonotonicTime time) {
+        return time.since(request.admittedAt).toMillis();
     }
 }
--- a/router-core/src/main/java/pearladder/router/core/RequestManager.java
+++ b/router-core/src/main/java/pearladder/router/core/RequestManager.java
@@ -14,26 +14,26 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * The requests that a router has in flight. Each is reported to the routing policy, its attempts are sent as the
- * policy decides, and its client gets one final answer.
+ * Manages the requests that a router has in flight: reports each one to the routing policy, sends its attempts as the
+ * policy decides, and gives its client exactly one final answer.
  */
 public final class RequestManager implements PolicyDriver.ActionHandler {
     /**
      * A request as the server has parsed it.
      *
-     * @param clientRequestId the id that workers see
-     * @param function that is to be executed
-     * @param idempotencyKey against duplicates, or null
-     * @param receivedAt when its first bytes were read
-     * @param timeLeft from its admission to its deadline
-     * @param requestClass with its latency objective and idempotency
-     * @param tenant null where tenants are not distinguished
-     * @param concurrency requests that an instance of the function executes at once
-     * @param memoryMb of an instance
-     * @param typicalLoadTime of an instance; null where it is not known
-     * @param workEstimate the client's estimate, or null
-     * @param clientRetry whether the client says that this is a retry
-     * @param completionListener told how the request ended
+     * @param clientRequestId the request id that is sent to workers
+     * @param function the function to be executed
+     * @param idempotencyKey key for deduplication, or null
+     * @param receivedAt time at which the first bytes were read
+     * @param timeLeft time from admission to the deadline
+     * @param requestClass request class with latency objective and idempotency
+     * @param tenant null if tenants are not distinguished
+     * @param concurrency number of requests that an instance of the function executes at once
+     * @param memoryMb memory of an instance
+     * @param typicalLoadTime load time of an instance; null if not known
+     * @param workEstimate the client's estimate of the work, or null
+     * @param clientRetry whether the client has marked the request as a retry
+     * @param completionListener receives the end of the request
      */
     public record ParsedRequest(
             String clientRequestId,
@@ -50,9 +50,9 @@
             boolean clientRetry,
             CompletionListener completionListener) {}
 
-    /** Told how far the prewarming of a function is. */
+    /** Receives the progress of prewarming. */
     public interface PrewarmListener {
-        /** @param share of the load that the loaded instances can take */
+        /** @param share share of the function's load that the loaded instances can serve */
         void onProgress(String function, double share);
     }
 
@@ -68,14 +68,14 @@
     private final Map<String, ActiveRequest> activeRequests = new HashMap<>();
     private PrewarmListener prewarmListener = (function, share) -> {};
     private long requestCount;
-    /** Null unless somebody waits for the last request. */
+    /** The task to run once no request is in flight, or null. */
     private Runnable whenEmpty;
 
     /**
      * Creates a manager without requests.
      *
-     * @param settings the same that the policy was created with
-     * @param eventListener told what happens, and asked before load requests
+     * @param settings the settings that the policy was created with
+     * @param eventListener receives events; may refuse load requests
      */
     public RequestManager(
             RoutingSettings settings,
@@ -93,27 +93,27 @@
         this.policyDriver = new PolicyDriver(timers, policy, metrics, this);
     }
 
-    /** Sets who is told of prewarming; called before the first request. */
+    /** Sets the listener for the progress of prewarming; called before the first request. */
     public void onPrewarmProgress(PrewarmListener listener) {
         prewarmListener = listener;
     }
 
-    /** Asked before anything of a request is sent, and before what may owe answers is closed. */
+    /** Returns the gate that is checked before a request is sent and before a resource with open requests is closed. */
     public DeliveryGate gate() {
         return gate;
     }
 
-    /** Reports an event to the policy. */
+    /** Passes an event to the policy. */
     public void dispatch(Event event) {
         policyDriver.dispatch(event);
     }
 
-    /** Requests that are not answered yet, or have an attempt under way. */
+    /** Returns the number of requests that are not answered yet or have an attempt in flight. */
     public int inFlight() {
         return activeRequests.size();
     }
 
-    /** Ends the policy's part: later events do not reach it. */
+    /** Stops the policy: its timers are cancelled and later events are not passed to it. */
     public void stop() {
         policyDriver.stop();
     }
@@ -132,7 +132,7 @@
         List.copyOf(activeRequests.values()).forEach(request -> fail(new Action.Fail(request.id)));
     }
 
-    /** Admits a request; from here on it gets one final answer. */
+    /** Admits a request, which from then on gets exactly one final answer. */
     public ActiveRequest accept(ParsedRequest parsed, ResponseHandler responseHandler) {
         String id = Long.toString(++requestCount);
         ActiveRequest request = new ActiveRequest(id, parsed, responseHandler, timers.now());
@@ -152,7 +152,7 @@
         return request;
     }
 
-    /** The client has disconnected: it is owed no answer, and attempts under way are cancelled as far as allowed. */
+    /** Completes a request whose client has disconnected, without an answer; cancels its attempts where allowed. */
     public void clientDisconnected(ActiveRequest request) {
         if (request.completed) {
             return;
@@ -169,8 +169,8 @@
     }
 
     /**
-     * The router is about to close the client's connection: the request is answered as failed, and its attempts are
-     * cancelled as for a client that disconnects.
+     * Answers a request as failed because the router is about to close the client's connection, and cancels its
+     * attempts as for a client that disconnects.
      */
     public void failBeforeClose(ActiveRequest request) {
         if (complete(request, CompletionStatus.FAILED)) {
@@ -202,10 +202,9 @@
     }
 
     /**
-     * Marks a request as answered and reports it.
+     * Marks a request as answered and reports its completion.
      *
-     * @return whether the caller is to give the answer; false where there is no such request or it was answered
-     *     before
+     * @return whether the caller has to send the answer; false if there is no such request or it was answered before
      */
     private boolean complete(ActiveRequest request, CompletionStatus status) {
         if (request == null || !gate.mayAnswer(request)) {
@@ -223,13 +222,13 @@
         return true;
     }
 
-    // ---- actions of the policy
+    // ---- ActionHandler
 
     @Override
     public void send(Action.SendAttempt action) {
         ActiveRequest request = activeRequests.get(action.requestId());
         if (request == null) {
-            LOG.error("the policy sends an attempt of request {}, which is not in flight", action.requestId());
+            LOG.error("the policy sent an attempt for request {}, which is not in flight", action.requestId());
             return;
         }
         boolean allowed = gate.mayStartAttempt(request);
@@ -242,17 +241,17 @@
         if (!allowed) {
             onAttemptEnded(attempt, Outcome.VOID, null);
         } else {
-            hand(attempt, action.timeout());
+            sendToWorker(attempt, action.timeout());
         }
     }
 
-    /** Hands an attempt to the worker client; one on which that fails may have been executed. */
-    private void hand(ActiveAttempt attempt, TimeSpan timeout) {
+    /** Passes an attempt to the worker client; an attempt on which the client throws may have been executed. */
+    private void sendToWorker(ActiveAttempt attempt, TimeSpan timeout) {
         try {
             attempt.pendingSend = workerClient.send(
                     attempt, timeout, (outcome, response) -> onAttemptEnded(attempt, outcome, response));
-        } catch (RuntimeException defect) {
-            LOG.error("an attempt of request {} failed", attempt.request.clientRequestId, defect);
+        } catch (RuntimeException failure) {
+            LOG.error("failed to send an attempt of request {}", attempt.request.clientRequestId, failure);
             if (!attempt.ended) {
                 onAttemptEnded(attempt, Outcome.BROKEN, null);
             }
--- a/router-core/src/main/java/pearladder/router/core/RouterMetrics.java
+++ b/router-core/src/main/java/pearladder/router/core/RouterMetrics.java
@@ -2,28 +2,28 @@
 
 import pearladder.routing.api.Outcome;
 
-/** Counts what a router does. */
+/** Receives the measurements of a router. */
 public interface RouterMetrics {
-    /** A request was answered, so many nanoseconds after it was received. */
+    /** Called when a request was answered {@code nanos} nanoseconds after it was received. */
     void onResponse(CompletionStatus status, long nanos);
 
-    /** An attempt ended. */
+    /** Called when an attempt ended. */
     void onAttemptEnded(Outcome outcome);
 
-    /** A further attempt of a request was started, since the one before ended so. */
+    /** Called when a further attempt of a request is started after the previous one ended with an outcome. */
     default void onRetry(Outcome previous) {
-        // counted by those that can
+        // optional
     }
 
-    /** The routing policy took so many nanoseconds to handle one event. */
+    /** Called when the routing policy has handled one event in {@code nanos} nanoseconds. */
     void onDecision(long nanos);
 
-    /** The routing policy logged a change of mode, with its figures. */
+    /** Called for each line that the routing policy logs, such as a change of mode with its figures. */
     void onModeChange(String text);
 
-    /** A client disconnected before its request was answered. */
+    /** Called when a client disconnected before its request was answered. */
     void onClientDisconnected();
 
-    /** A worker was asked to load instances. */
+    /** Called when a load request is sent to a worker. */
     void onLoadRequest();
 }
--- a/router-core/src/main/java/pearladder/router/core/SnapshotLoader.java
+++ b/router-core/src/main/java/pearladder/router/core/SnapshotLoader.java
@@ -11,19 +11,19 @@
 import pearladder.routing.api.TimeSpan;
 import pearladder.routing.state.PolicySnapshot;
 
-/** Decides, by the rules of {@link SnapshotRecovery}, what of a snapshot the routing policy starts from. */
+/** Selects the parts of a snapshot that the routing policy starts from, by the rules of {@link SnapshotRecovery}. */
 public final class SnapshotLoader {
     private SnapshotLoader() {}
 
     /**
-     * What the policy is told after the cached endpoint list.
+     * Returns the event that is passed to the policy after the cached endpoint list.
      *
-     * @param snapshot of the router's last run, or null
-     * @param age of the snapshot, by the wall clock
-     * @param loadRequestAges of the load requests in the event log
-     * @param logComplete whether the event log has all of them
+     * @param snapshot snapshot of the router's last run, or null
+     * @param age age of the snapshot by the wall clock
+     * @param loadRequestAges ages of the load requests in the event log
+     * @param logComplete whether the event log contains all load requests
      * @param endpoints the cached endpoint list
-     * @param log gets one line with figures
+     * @param log receives one line with the result
      */
     public static Event.SnapshotRestored restoredEvent(
             RoutingSettings settings,
@@ -44,7 +44,7 @@
         return new Event.SnapshotRestored(recovered.snapshot());
     }
 
-    /** How long each listed worker has been up; null where that is not known. */
+    /** Returns the uptime of each listed worker; null if it is not known. */
     private static Map<String, TimeSpan> uptimes(Event.EndpointsUpdated endpoints, MonotonicTime now) {
         Map<String, TimeSpan> uptimes = new HashMap<>();
         for (Event.Endpoint endpoint : endpoints.endpoints()) {
--- a/router-core/src/main/java/pearladder/router/core/WorkerClient.java
+++ b/router-core/src/main/java/pearladder/router/core/WorkerClient.java
@@ -5,57 +5,57 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * The router's connections to its workers. {@link Result#UNREACHABLE} and {@link Result#VOID} are reported only
- * where nothing of a request was sent. Everything that is begun ends once, at the latest at its timeout; it may
- * end before the method that began it returns.
+ * The router's connections to its workers. {@link Outcome#UNREACHABLE} and {@link Outcome#VOID} are reported only
+ * if no part of a request was sent. Every operation ends exactly once, at its timeout at the latest; it may end before
+ * the method that started it returns.
  */
 public interface WorkerClient {
-    /** An attempt that is under way. */
+    /** An attempt in flight. */
     interface PendingSend {
         /** An attempt that ended before {@link WorkerClient#send} returned. */
         PendingSend NONE = new PendingSend() {
             @Override
             public void cancel() {
-                // it has ended
+                // already ended
             }
 
             @Override
             public void cancelUnsent() {
-                // it has ended
+                // already ended
             }
         };
 
         /** Stops waiting for the response. */
         void cancel();
 
-        /** Ends the attempt if nothing of it has been sent yet; otherwise it goes on. */
+        /** Ends the attempt if none of it has been sent yet; otherwise has no effect. */
         void cancelUnsent();
     }
 
-    /** Told once how an attempt or a health check ended. */
+    /** Receives the end of an attempt or of a health check, once. */
     interface AttemptListener {
-        /** @param response null where no complete response came */
+        /** @param response null if no complete response was received */
         void onEnded(Outcome outcome, WorkerResponse response);
     }
 
-    /** Told once how a load request ended. */
+    /** Receives the end of a load request, once. */
     interface LoadListener {
-        /** @param instances that are loaded on the worker now */
+        /** @param instances the number of instances that are loaded on the worker now */
         void onEnded(Outcome outcome, int instances);
     }
 
-    /** Whether discovery lists a worker as in service; where it is not known, it counts as that. */
+    /** Returns whether discovery lists a worker as in service; true if the client does not know. */
     default boolean isInService(String worker) {
         return true;
     }
 
-    /** Sends an attempt to its worker; to one that is not listed it ends unsent. */
+    /** Sends an attempt to its worker; ends it unsent if the worker is not listed. */
     PendingSend send(ActiveAttempt attempt, TimeSpan timeout, AttemptListener listener);
 
     /**
-     * Asks a worker to load instances of a function, or with 0 how many it has.
+     * Requests a worker to load instances of a function; with 0, only queries how many are loaded.
      *
-     * @param permission asked just before the request is written; where it says no, it ends unsent
+     * @param permission evaluated just before the request is written; if false, the request ends unsent
      */
     void loadInstances(
             String worker,
@@ -65,15 +65,15 @@
             BooleanSupplier permission,
             LoadListener listener);
 
-    /** Asks a worker to unload its idle instances of a function; the response is not awaited. */
+    /** Requests a worker to unload its idle instances of a function; does not wait for the response. */
     void unloadInstances(String worker, String function, TimeSpan timeout);
 
-    /** Asks a worker whether it is healthy. */
+    /** Sends a health check to a worker. */
     void checkHealth(String worker, TimeSpan timeout, AttemptListener listener);
 
-    /** Closes the connections to a worker that carry no request. */
+    /** Closes the idle connections to a worker. */
     void closeIdleConnections(String worker);
 
-    /** Watches the endpoint list; has no effect where it is watched already. */
+    /** Starts to watch the endpoint list; has no effect if it is already watched. */
     void watchEndpoints();
 }
--- a/router-core/src/main/java/pearladder/router/core/WorkerResponse.java
+++ b/router-core/src/main/java/pearladder/router/core/WorkerResponse.java
@@ -3,17 +3,17 @@
 import pearladder.routing.api.Event;
 import pearladder.routing.api.Outcome;
 
-/** What a worker's complete response tells the routing policy. */
+/** The parts of a worker's complete response that the routing policy uses. */
 public interface WorkerResponse {
-    /** How the attempt ended. */
+    /** Returns the outcome of the attempt. */
     Outcome outcome();
 
-    /** Whether the request found an instance loaded. */
+    /** Returns the status of the instance that the request found on the worker. */
     Event.InstanceStatus instanceStatus();
 
-    /** Requests for the same function that the worker had in flight; -1 where it does not say. */
+    /** Returns the number of requests for the same function that the worker had in flight; -1 if not reported. */
     int concurrentRequests();
 
-    /** The worker's load report, or null. */
+    /** Returns the worker's load report, or null. */
     Event.WorkerLoadReport loadReport();
 }
--- a/router-core/src/test/java/pearladder/router/core/PolicyDriverTest.java
+++ b/router-core/src/test/java/pearladder/router/core/PolicyDriverTest.java
@@ -12,19 +12,19 @@
 import pearladder.routing.api.RoutingPolicy;
 import pearladder.routing.api.TimeSpan;
 
-/** The order of events and actions, and what a failure of the policy leads to. */
+/** Tests the order of events and actions and the handling of policy failures. */
 class PolicyDriverTest {
     private static final TimeSpan ATTEMPT_TIMEOUT = TimeSpan.millis(50);
     private static final Event TIMER_A = new Event.TimerFired("a");
     private static final Event TIMER_B = new Event.TimerFired("b");
     private static final RoutingPolicy FAILING_POLICY = (now, event) -> {
-        throw new IllegalStateException("policy failure of a test");
+        throw new IllegalStateException("simulated policy failure");
     };
 
     private final List<String> steps = new ArrayList<>();
     private final ManualTimers timers = new ManualTimers();
 
-    /** A clock that stands still; timers run when the test fires them. */
+    /** A clock that does not advance; timers run when the test fires them. */
     private static final class ManualTimers implements Timers {
         private final List<TimeSpan> delays = new ArrayList<>();
         private final List<Runnable> pending = new ArrayList<>();
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Records each action; an attempt that is sent ends at once, within its action. */
+    /** Records each action; an attempt ends before the action that sends it returns. */
     private final class RecordingActionHandler implements PolicyDriver.ActionHandler {
         private PolicyDriver driver;
 
@@ -108,8 +108,7 @@
         }
     }
 
-    /** Ignores every figure. */
-    private static final class IgnoredMetrics implements RouterMetrics {
+    private static final class NoOpMetrics implements RouterMetrics {
         @Override
         public void onResponse(CompletionStatus status, long nanos) {}
 
@@ -131,7 +130,7 @@
 
     private PolicyDriver driver(RoutingPolicy policy) {
         RecordingActionHandler handler = new RecordingActionHandler();
-        handler.driver = new PolicyDriver(timers, policy, new IgnoredMetrics(), handler);
+        handler.driver = new PolicyDriver(timers, policy, new NoOpMetrics(), handler);
         return handler.driver;
     }
 
@@ -146,7 +145,7 @@
     }
 
     @Test
-    void anEventThatAnActionCausesWaitsForTheActionsBeforeIt() {
+    void anEventCausedByAnActionIsHandledAfterTheRemainingActions() {
         PolicyDriver driver = driver((now, event) -> {
             if (event instanceof Event.RequestArrived arrived) {
                 return List.of(
@@ -160,13 +159,13 @@
     }
 
     @Test
-    void aRequestOnWhichThePolicyThrowsFails() {
+    void aRequestFailsIfThePolicyThrowsOnItsArrival() {
         driver(FAILING_POLICY).dispatch(requestArrived("r1"));
         assertEquals(List.of("fail r1"), steps);
     }
 
     @Test
-    void anAttemptOnWhichThePolicyThrowsFailsItsRequestOnlyIfThatIsOpen() {
+    void aPolicyFailureOnAnEndedAttemptFailsOnlyAnOpenRequest() {
         PolicyDriver driver = driver(FAILING_POLICY);
         driver.dispatch(attemptEnded("open", false));
         driver.dispatch(attemptEnded("completed", true));
@@ -174,9 +173,9 @@
     }
 
     @Test
-    void actionsAfterOneThatFailsAreExecuted() {
+    void actionsAfterAFailedActionAreExecuted() {
         PolicyDriver driver = driver((now, event) ->
-                List.of(new Action.SetTimer(null, "a time that is missing"), new Action.Reject("r1", TimeSpan.ZERO)));
+                List.of(new Action.SetTimer(null, "timer without a due time"), new Action.Reject("r1", TimeSpan.ZERO)));
         driver.dispatch(requestArrived("r1"));
         assertEquals(List.of("reject r1"), steps);
         driver.dispatch(requestArrived("r2"));
@@ -184,12 +183,12 @@
     }
 
     @Test
-    void aTimerOnWhichThePolicyThrowsFiresAgain() {
+    void aTimerFiresAgainIfThePolicyThrowsOnIt() {
         List<Event> received = new ArrayList<>();
         PolicyDriver driver = driver((now, event) -> {
             received.add(event);
             if (received.size() == 1) {
-                throw new IllegalStateException("policy failure of a test");
+                throw new IllegalStateException("simulated policy failure");
             }
             return List.of();
         });
@@ -201,7 +200,7 @@
     }
 
     @Test
-    void afterAStopNoTimerAndNoEventReachesThePolicy() {
+    void afterStopNoTimerOrEventReachesThePolicy() {
         List<Event> received = new ArrayList<>();
         PolicyDriver driver = driver((now, event) -> {
             received.add(event);
