--- a/settings/src/main/java/pearladder/settings/JsonNodeReader.java
+++ b/settings/src/main/java/pearladder/settings/JsonNodeReader.java
@@ -7,16 +7,16 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * A value inside a JSON document, read by type. Unknown keys are ignored. Where a value is null or missing, the methods
- * return the default that they state; where it has another type, they throw an {@link InvalidInputException} that
- * names the path.
+ * A value inside a JSON document, with accessors by type. Unknown keys are ignored. If the value is null or missing, an
+ * accessor returns the default that it documents; if the value has another type, it throws an
+ * {@link InvalidInputException} that names the path.
  *
- * @param row the reader of the line or document, which names it in errors
- * @param path from the document's root, for errors
- * @param value as {@link JsonRowReader#tree} returns it, or null
+ * @param row the reader of the line or document, which creates the exceptions
+ * @param path path from the document's root, for error messages
+ * @param value the value as {@link JsonRowReader#tree} returns it, or null
  */
 public record JsonNodeReader(JsonRowReader row, String path, Object value) {
-    /** The value of a key; null where the key or the object is missing. */
+    /** Returns the value of a key; its value is null if the key or the object is missing. */
     public JsonNodeReader at(String key) {
         Object inner = value == null ? null : object().get(key);
         return new JsonNodeReader(row, path + "." + key, inner);
@@ -39,27 +39,27 @@
         throw row.bad(path, typeName + " was expected");
     }
 
-    /** The text, which must not be missing. */
+    /** Returns the string, which must not be missing. */
     public String text() {
-        return row.present(path, textOr(null));
+        return row.requirePresent(path, textOr(null));
     }
 
-    /** The text, or the default. */
+    /** Returns the string, or the default. */
     public String textOr(String defaultValue) {
-        return as(String.class, "a text", defaultValue);
+        return as(String.class, "a string", defaultValue);
     }
 
-    /** The boolean, or the default. */
+    /** Returns the boolean, or the default. */
     public boolean flag(boolean defaultValue) {
         return as(Boolean.class, "true or false", defaultValue);
     }
 
-    /** The number, or the default. */
+    /** Returns the number, or the default. */
     public double number(double defaultValue) {
         return as(Number.class, "a number", defaultValue).doubleValue();
     }
 
-    /** The whole number, or the default. */
+    /** Returns the whole number, or the default. */
     public int whole(int defaultValue) {
         double number = number(defaultValue);
         if (number != Math.rint(number)) {
@@ -68,12 +68,12 @@
         return (int) number;
     }
 
-    /** The number as a span in nanoseconds; zero where it is missing. */
+    /** Returns the number as a duration in nanoseconds; zero if it is missing. */
     public TimeSpan span() {
         return new TimeSpan(Math.round(number(0)));
     }
 
-    /** The elements of the list, each converted; empty where the list is missing. */
+    /** Returns the converted elements of the list; empty if the list is missing. */
     public <T> List<T> each(Function<JsonNodeReader, T> conversion) {
         List<?> list = as(List.class, "a list", List.of());
         return IntStream.range(0, list.size())
@@ -81,12 +81,12 @@
                 .toList();
     }
 
-    /** What the text stands for, which must be one of the words. */
-    public <T> T oneOf(Map<String, T> words) {
-        T meaning = words.get(text());
-        if (meaning == null) {
+    /** Returns the constant that the string names, which must be one of the map's keys. */
+    public <T> T oneOf(Map<String, T> constantsByName) {
+        T constant = constantsByName.get(text());
+        if (constant == null) {
             throw row.bad(path, "unknown word " + value);
         }
-        return meaning;
+        return constant;
     }
 }
--- a/settings/src/main/java/pearladder/settings/JsonRowReader.java
+++ b/settings/src/main/java/pearladder/settings/JsonRowReader.java
@@ -12,9 +12,9 @@
 import java.util.function.IntConsumer;
 
 /**
- * Reads one line, a JSON array, value by value; a value left out at the end reads as null. Or reads a whole document.
- * What is not valid JSON or has another type than the one asked for is an {@link InvalidInputException}, which names
- * the line or document and the field.
+ * Reads one line, a JSON array, value by value, or a whole JSON document. Values that are missing at the end of a line
+ * are read as null. Throws an {@link InvalidInputException} that names the line or document and the field if the input
+ * is not valid JSON or a value does not have the requested type.
  */
 public final class JsonRowReader {
     private final JsonParser parser;
@@ -26,16 +26,16 @@
         this.source = source;
     }
 
-    /** Reads a document of one value; errors state its name. */
+    /** Reads a document of one value; error messages contain its name. */
     public static JsonNodeReader document(JsonParser parser, String name) {
         JsonRowReader row = new JsonRowReader(parser, name);
         return new JsonNodeReader(row, "", row.tree("value"));
     }
 
     /**
-     * Starts to read a line, which must be an array.
+     * Starts reading a line, which must be an array.
      *
-     * @param line number of the line, for errors
+     * @param line number of the line, for error messages
      */
     public JsonRowReader(JsonParser parser, long line) {
         this(parser, "line " + line);
@@ -44,21 +44,21 @@
         }
     }
 
-    /** Opens a document of one value, to be read with {@link #eachField}; errors state its name. */
+    /** Opens a document of one value, to be read with {@link #eachField}; error messages contain its name. */
     public static JsonRowReader open(JsonParser parser, String name) {
         JsonRowReader row = new JsonRowReader(parser, name);
         if (row.read(parser::nextToken) == null) {
-            throw row.bad("value", "the line stops short");
+            throw row.bad("value", "unexpected end of input");
         }
         return row;
     }
 
     /**
-     * Reads the current value, an object, field by field, so that a large document never stands in memory whole. None
-     * is read where the value is null.
+     * Reads the current value, an object, field by field, so that a large document is never held in memory as a whole.
+     * Does nothing if the value is null.
      *
-     * @param path of the value, for errors
-     * @param reader receives each name; it must read the current value or skip it
+     * @param path path of the value, for error messages
+     * @param reader receives each field's name; must read the field's value or skip it
      */
     public void eachField(String path, Consumer<String> reader) {
         if (parser.currentToken() == JsonToken.VALUE_NULL) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Reads the current value, a list, like {@link #eachField}; the reader receives each element's index. */
+    /** Reads the current value, a list, as {@link #eachField} does; the reader receives each element's index. */
     public void eachElement(String path, IntConsumer reader) {
         if (parser.currentToken() == JsonToken.VALUE_NULL) {
             return;
@@ -91,17 +91,17 @@
     private JsonToken nextWithin(String path) {
         JsonToken token = read(parser::nextToken);
         if (token == null) {
-            throw bad(path, "the line stops short");
+            throw bad(path, "unexpected end of input");
         }
         return token;
     }
 
-    /** The current value of a document that is read in parts. */
+    /** Returns the current value of a document that is read in parts. */
     public JsonNodeReader node(String path) {
         return new JsonNodeReader(this, path, tree(path, parser.currentToken()));
     }
 
-    /** Passes over the current value. */
+    /** Skips the current value. */
     public void skip() {
         read(parser::skipChildren);
     }
@@ -120,7 +120,7 @@
         }
     }
 
-    /** An error in a field of this line or document, for the caller to throw. */
+    /** Returns an exception about a field of this line or document, for the caller to throw. */
     public InvalidInputException bad(String field, String problem) {
         return new InvalidInputException(source + ", " + field + ": " + problem);
     }
@@ -131,7 +131,7 @@
         }
         JsonToken token = read(parser::nextToken);
         if (token == null) {
-            throw bad(field, "the line stops short");
+            throw bad(field, "unexpected end of input");
         }
         if (token == JsonToken.END_ARRAY) {
             ended = true;
@@ -140,25 +140,25 @@
         return token;
     }
 
-    /** The next value as text, or null. */
+    /** Reads the next value as a string, or null. */
     public String textOrNull(String field) {
         JsonToken token = next(field);
         if (token == JsonToken.VALUE_NULL) {
             return null;
         }
         if (token != JsonToken.VALUE_STRING) {
-            throw bad(field, "a text was expected");
+            throw bad(field, "a string was expected");
         }
         return read(parser::getText);
     }
 
-    /** The next value as text, which must not be null. */
+    /** Reads the next value as a string, which must not be null. */
     public String text(String field) {
-        return present(field, textOrNull(field));
+        return requirePresent(field, textOrNull(field));
     }
 
-    /** The next value as a whole number, or null. */
-    public Long wholeOrNull(String field) {
+    /** Reads the next value as a whole number, or null. */
+    public Long wholeNumberOrNull(String field) {
         JsonToken token = next(field);
         if (token == JsonToken.VALUE_NULL) {
             return null;
@@ -175,12 +175,12 @@
         throw bad(field, "a whole number was expected");
     }
 
-    /** The next value as a whole number, which must not be null. */
-    public long whole(String field) {
-        return present(field, wholeOrNull(field));
+    /** Reads the next value as a whole number, which must not be null. */
+    public long wholeNumber(String field) {
+        return requirePresent(field, wholeNumberOrNull(field));
     }
 
-    /** The next value as a number, or null. */
+    /** Reads the next value as a number, or null. */
     public Double numberOrNull(String field) {
         JsonToken token = next(field);
         if (token == JsonToken.VALUE_NULL) {
@@ -192,7 +192,7 @@
         return read(parser::getDoubleValue);
     }
 
-    /** The next value as a boolean; false where it is null. */
+    /** Reads the next value as a boolean; false if it is null. */
     public boolean flag(String field) {
         JsonToken token = next(field);
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE && token != JsonToken.VALUE_NULL) {
@@ -201,14 +201,14 @@
         return token == JsonToken.VALUE_TRUE;
     }
 
-    /** The next value, of any type, as maps, lists, strings, numbers and booleans. */
+    /** Reads the next value, of any type, as maps, lists, strings, numbers and booleans. */
     public Object tree(String field) {
         return tree(field, next(field));
     }
 
     private Object tree(String field, JsonToken token) {
         if (token == null) {
-            throw bad(field, "the line stops short");
+            throw bad(field, "unexpected end of input");
         }
         return switch (token) {
             case START_OBJECT -> object(field);
@@ -241,20 +241,20 @@
         return array;
     }
 
-    /** The value itself, which must not be null. */
-    public <T> T present(String field, T value) {
+    /** Returns a value, which must not be null. */
+    public <T> T requirePresent(String field, T value) {
         if (value == null) {
             throw bad(field, "a value is missing");
         }
         return value;
     }
 
-    /** Reads to the end of the line; further values are ignored, a second message on the line is an error. */
+    /** Reads to the end of the line; ignores further values, and rejects a second message on the line. */
     public void close() {
         while (!ended) {
             JsonToken token = read(parser::nextToken);
             if (token == null) {
-                throw bad("message", "the line stops short");
+                throw bad("message", "unexpected end of input");
             }
             if (token == JsonToken.START_ARRAY || token == JsonToken.START_OBJECT) {
                 read(parser::skipChildren);
@@ -263,7 +263,7 @@
             }
         }
         if (read(parser::nextToken) != null) {
-            throw bad("message", "one message a line was expected");
+            throw bad("message", "one message per line was expected");
         }
     }
 }
--- a/settings/src/main/java/pearladder/settings/RoutingSettingsParser.java
+++ b/settings/src/main/java/pearladder/settings/RoutingSettingsParser.java
@@ -16,22 +16,22 @@
 import pearladder.routing.api.RoutingSettings.Tenant;
 
 /**
- * Reads the routing settings as the simulator and the platform's configuration state them. Keys that end in Ns hold
- * nanoseconds.
+ * Parses the routing settings from the JSON format of the simulator and of the platform's configuration. Values of
+ * keys that end in Ns are nanoseconds.
  */
 public final class RoutingSettingsParser {
-    private static final Map<String, Idempotency> IDEMPOTENCY_WORDS = Map.of(
+    private static final Map<String, Idempotency> IDEMPOTENCY_BY_NAME = Map.of(
             "free", Idempotency.RETRIABLE, "guarded", Idempotency.FINGERPRINTED, "single_shot", Idempotency.BINDING);
-    private static final Map<String, DeduplicationScope> SCOPE_WORDS =
+    private static final Map<String, DeduplicationScope> SCOPE_BY_NAME =
             Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
 
     private RoutingSettingsParser() {}
 
     /**
-     * Reads the settings from a JSON object. A missing setting has a default; only the names of request
-     * classes and tenants and the effect of a request class must not be missing.
+     * Reads the settings from a JSON object. Missing settings get defaults; only the names of request classes and
+     * tenants and the effect of a request class are required.
      *
-     * @throws InvalidInputException if a required setting is missing, or one has the wrong type or an unknown word
+     * @throws InvalidInputException if a required setting is missing, or one has the wrong type or an unknown value
      */
     public static RoutingSettings read(JsonNodeReader settings) {
         JsonNodeReader rules = settings.at("Rules");
@@ -60,7 +60,7 @@
                 service.at("GiveUpNs").span(),
                 service.at("Worth").number(1),
                 service.at("LateWorth").number(0),
-                service.at("Effect").oneOf(IDEMPOTENCY_WORDS),
+                service.at("Effect").oneOf(IDEMPOTENCY_BY_NAME),
                 deduplicationScope(service.at("DedupScope")),
                 service.at("KeyTtlNs").span(),
                 service.at("Streamed").flag(false),
@@ -68,7 +68,7 @@
     }
 
     private static DeduplicationScope deduplicationScope(JsonNodeReader scope) {
-        return scope.value() == null ? DeduplicationScope.ALL : scope.oneOf(SCOPE_WORDS);
+        return scope.value() == null ? DeduplicationScope.ALL : scope.oneOf(SCOPE_BY_NAME);
     }
 
     private static Tenant tenant(JsonNodeReader account) {
--- a/settings/src/main/java/pearladder/settings/package-info.java
+++ b/settings/src/main/java/pearladder/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the routing settings, and whatever else the simulator and the platform state in the same JSON format. */
+/** Parses the routing settings and other JSON input of the simulator and the platform. */
 package pearladder.settings;
--- a/settings/src/test/java/pearladder/settings/RoutingSettingsParserTest.java
+++ b/settings/src/test/java/pearladder/settings/RoutingSettingsParserTest.java
@@ -17,7 +17,7 @@
 import pearladder.routing.api.RoutingSettings.RequestClass;
 import pearladder.routing.api.TimeSpan;
 
-/** Settings as operators write them: what is read, and what an error says of place and reason. */
+/** Tests how settings in the operators' format are parsed, and that errors name the position and the reason. */
 class RoutingSettingsParserTest {
     private static RoutingSettings parse(String json) {
         try (JsonParser parser = new JsonFactory().createParser(json)) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void eachKeySetsItsOwnLimit() {
+    void eachKeySetsItsOwnSetting() {
         RoutingSettings settings = parse(
                 """
                 {"OverShareWorth": 0.5, "WorthBy": "work", "MembershipMode": "ask",
@@ -132,7 +132,7 @@
                 "config, .Caps.MaxAttempts: a whole number was expected | {\"Caps\": {\"MaxAttempts\": 1.5}}",
                 "config, .Caps.Probes: true or false was expected | {\"Caps\": {\"Probes\": \"yes\"}}",
                 "config, .QuantumNs: a number was expected | {\"QuantumNs\": \"4ms\"}",
-                "config, .Zone: a text was expected | {\"Zone\": 1}",
+                "config, .Zone: a string was expected | {\"Zone\": 1}",
                 "config, .Services: a list was expected | {\"Services\": {}}",
                 "config, .Services[0].Name: a value is missing | {\"Services\": [{}]}",
                 "config, .Services[1].Effect: a value is missing "
@@ -143,20 +143,20 @@
                         + "| {\"Services\": [{\"Name\": \"a\", \"Effect\": \"guarded\", \"DedupScope\": \"rack\"}]}",
                 "config, .FamilyInfo.MachineMb[1]: a number was expected "
                         + "| {\"FamilyInfo\": {\"MachineMb\": [512, \"1G\"]}}",
-                "config, .Accounts[0].Name: a text was expected | {\"Accounts\": [{\"Name\": 7}]}",
+                "config, .Accounts[0].Name: a string was expected | {\"Accounts\": [{\"Name\": 7}]}",
             })
-    void errorNamesThePlaceAndWhatWasExpected(String expectedMessage, String json) {
+    void errorNamesTheFieldAndTheExpectedType(String expectedMessage, String json) {
         assertInvalid(expectedMessage, json);
     }
 
     @Test
-    void errorNamesTheDocumentThatIsNoObjectOrStopsShort() {
+    void aDocumentThatIsEmptyOrNotAnObjectIsRejected() {
         assertInvalid("config, : an object was expected", "[1, 2]");
-        assertInvalid("config, value: the line stops short", "");
+        assertInvalid("config, value: unexpected end of input", "");
     }
 
     @Test
-    void malformedJsonIsReportedAsSuch() {
+    void malformedJsonIsRejected() {
         InvalidInputException invalid = assertThrows(InvalidInputException.class, () -> parse("{\"Caps\": nul}"));
         assertTrue(invalid.getMessage().startsWith("config: not valid JSON: "), invalid.getMessage());
     }
--- a/simulator-adapter/src/main/java/pearladder/simulator/EventReader.java
+++ b/simulator-adapter/src/main/java/pearladder/simulator/EventReader.java
@@ -67,21 +67,24 @@
             case "DirectoryUpdate" -> endpointsUpdated(row);
             case "Demand" -> requestArrived(row);
             case "Streaming" -> new Event.StreamStarted(
-                    row.text("Txn"), (int) row.whole("SeqNo"), row.text("Worker"), new TimeSpan(row.whole("TookNs")));
+                    row.text("Txn"),
+                    (int) row.wholeNumber("SeqNo"),
+                    row.text("Worker"),
+                    new TimeSpan(row.wholeNumber("TookNs")));
             case "Settled" -> attemptEnded(row);
             case "ClientLeft" -> new Event.ClientDisconnected(row.text("Txn"));
             case "Due" -> new Event.TimerFired(row.text("Tag"));
             case "ProbeResult" -> healthCheckCompleted(row);
             case "BroughtUp" -> loadCompleted(row);
-            case "FromPeer" -> new Event.GossipReceived((int) row.whole("OriginPeer"), row.text("Contents"));
+            case "FromPeer" -> new Event.GossipReceived((int) row.wholeNumber("OriginPeer"), row.text("Contents"));
             default -> throw row.bad("message", "unknown event " + name);
         };
     }
 
     private Event endpointsUpdated(JsonRowReader row) {
         String mode = row.text("Mode");
-        row.wholeOrNull("Gen");
-        Long table = row.wholeOrNull("Table");
+        row.wholeNumberOrNull("Gen");
+        Long table = row.wholeNumberOrNull("Table");
         EndpointUpdateKind kind = constant(row, "Mode", UPDATE_KINDS, mode);
         List<Endpoint> endpoints = kind == EndpointUpdateKind.FAILED ? List.of() : endpointTables.get(table);
         if (endpoints == null) {
@@ -93,27 +96,27 @@
     private static Event healthCheckCompleted(JsonRowReader row) {
         Outcome outcome = outcome(row);
         return new Event.HealthCheckCompleted(
-                row.text("Worker"), outcome, new TimeSpan(row.whole("TookNs")), report(row));
+                row.text("Worker"), outcome, new TimeSpan(row.wholeNumber("TookNs")), report(row));
     }
 
     private static Event loadCompleted(JsonRowReader row) {
         String worker = row.text("Worker");
-        Long instances = row.wholeOrNull("NInst");
+        Long instances = row.wholeNumberOrNull("NInst");
         String function = row.text("TargetFn");
         Outcome outcome = outcome(row);
         int loaded = instances == null ? 0 : instances.intValue();
-        return new Event.LoadCompleted(worker, function, outcome, loaded, new TimeSpan(row.whole("TookNs")));
+        return new Event.LoadCompleted(worker, function, outcome, loaded, new TimeSpan(row.wholeNumber("TookNs")));
     }
 
     private static Event requestArrived(JsonRowReader row) {
         String requestId = row.text("Txn");
-        Long concurrency = row.wholeOrNull("Width");
+        Long concurrency = row.wholeNumberOrNull("Width");
         Double loadMillis = row.numberOrNull("StartMs");
         boolean clientRetry = row.flag("Resent");
         String tenant = tenant(row);
-        TimeSpan timeLeft = new TimeSpan(row.whole("RemainingNs"));
+        TimeSpan timeLeft = new TimeSpan(row.wholeNumber("RemainingNs"));
         String requestClass = row.text("Priority");
-        Long workNanos = row.wholeOrNull("WorkHintNs");
+        Long workNanos = row.wholeNumberOrNull("WorkHintNs");
         Double memoryMb = row.numberOrNull("RamMb");
         String function = row.textOrNull("TargetFn");
         return new Event.RequestArrived(
@@ -145,12 +148,12 @@
     private static Event attemptEnded(JsonRowReader row) {
         String requestId = row.text("Txn");
         boolean requestCompleted = row.flag("Last");
-        Long detailOrNull = row.wholeOrNull("Detail");
+        Long detailOrNull = row.wholeNumberOrNull("Detail");
         int detail = detailOrNull == null ? 0 : detailOrNull.intValue();
         String worker = row.text("Worker");
         Outcome outcome = outcome(row);
-        TimeSpan elapsed = new TimeSpan(row.whole("TookNs"));
-        int attempt = (int) row.whole("SeqNo");
+        TimeSpan elapsed = new TimeSpan(row.wholeNumber("TookNs"));
+        int attempt = (int) row.wholeNumber("SeqNo");
         boolean counted = outcome == Outcome.SUCCESS || outcome == Outcome.FULL;
         int status = detail % DETAIL_STATUSES;
         if (detail < 0 || status >= INSTANCE_STATUSES.length) {
@@ -182,7 +185,7 @@
 
     /** Reads an endpoint list and keeps it under its number, for the updates that refer to it. */
     void readEndpointTable(JsonRowReader row) {
-        long table = row.whole("Table");
+        long table = row.wholeNumber("Table");
         JsonNodeReader entries = new JsonNodeReader(row, "Entries", row.tree("Entries"));
         endpointTables.put(table, entries.each(EventReader::endpoint));
     }
--- a/simulator-adapter/src/main/java/pearladder/simulator/SimulatorAdapter.java
+++ b/simulator-adapter/src/main/java/pearladder/simulator/SimulatorAdapter.java
@@ -90,7 +90,7 @@
         if (inBatch) {
             throw row.bad("message", "a batch begins inside another");
         }
-        now = new MonotonicTime(row.whole("clock"));
+        now = new MonotonicTime(row.wholeNumber("clock"));
         inBatch = true;
         row.close();
     }
@@ -113,9 +113,9 @@
     }
 
     private void beginRouter(JsonRowReader row) {
-        long router = row.whole("I");
-        long seed = row.whole("RandomSeed");
-        Object facts = row.present("Facts", row.tree("Facts"));
+        long router = row.wholeNumber("I");
+        long seed = row.wholeNumber("RandomSeed");
+        Object facts = row.requirePresent("Facts", row.tree("Facts"));
         RoutingSettings settings = RoutingSettingsParser.read(new JsonNodeReader(row, "Facts", facts));
         row.close();
         faulted.remove(router);
@@ -123,14 +123,14 @@
     }
 
     private void destroyRouter(JsonRowReader row) {
-        long router = row.whole("I");
+        long router = row.wholeNumber("I");
         row.close();
         policy(row, router);
         policies.remove(router);
     }
 
     private void handleEvent(String message, JsonRowReader row, ActionWriter writer) throws IOException {
-        long router = row.whole("I");
+        long router = row.wholeNumber("I");
         RoutingPolicy policy = policy(row, router);
         Event event = eventReader.read(message, row);
         row.close();
