--- a/config/src/main/java/pearladder/config/ConfigErrors.java
+++ b/config/src/main/java/pearladder/config/ConfigErrors.java
@@ -4,56 +4,56 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Collects the mistakes of one file, so that all of them are reported at once. */
+/** Collects the errors in one file, so that all of them are reported at once. */
 public final class ConfigErrors {
     /**
-     * A mistake in a file.
+     * An error in a configuration file.
      *
-     * @param file its name
-     * @param line from 1
-     * @param key with its parents, separated by dots; empty for the whole file
-     * @param what is wrong
-     * @param mend what to do
+     * @param file name of the file
+     * @param line line number, from 1
+     * @param key the key with its parent keys, separated by dots; empty for the whole file
+     * @param problem what is wrong
+     * @param remedy how to correct it
      */
-    public record Mistake(String file, int line, String key, String what, String mend) {
+    public record ConfigError(String file, int line, String key, String problem, String remedy) {
         @Override
         public String toString() {
-            return file + ":" + line + ": " + (key.isEmpty() ? "" : key + ": ") + what + "; " + mend;
+            return file + ":" + line + ": " + (key.isEmpty() ? "" : key + ": ") + problem + "; " + remedy;
         }
     }
 
-    /** Thrown when a file has mistakes; the message has a line for each. */
+    /** Thrown when a file has errors; the message has a line for each. */
     public static final class ConfigException extends RuntimeException {
         private static final long serialVersionUID = 1L;
-        private final transient List<Mistake> mistakes;
+        private final transient List<ConfigError> errors;
 
-        ConfigException(List<Mistake> mistakes) {
-            super(String.join("\n", mistakes.stream().map(Mistake::toString).toList()));
-            this.mistakes = List.copyOf(mistakes);
+        ConfigException(List<ConfigError> errors) {
+            super(String.join("\n", errors.stream().map(ConfigError::toString).toList()));
+            this.errors = List.copyOf(errors);
         }
 
-        /** The mistakes, sorted by line. */
-        public List<Mistake> mistakes() {
-            return mistakes;
+        /** Returns the errors, sorted by line. */
+        public List<ConfigError> mistakes() {
+            return errors;
         }
     }
 
     final String file;
-    private final List<Mistake> mistakes = new ArrayList<>();
+    private final List<ConfigError> errors = new ArrayList<>();
 
     ConfigErrors(String file) {
         this.file = file;
     }
 
-    void add(int line, String key, String what, String mend) {
-        mistakes.add(new Mistake(file, line, key, what, mend));
+    void add(int line, String key, String problem, String remedy) {
+        errors.add(new ConfigError(file, line, key, problem, remedy));
     }
 
-    /** Throws {@link RestartState} if there is any mistake. */
-    public void raise() {
-        if (!mistakes.isEmpty()) {
-            mistakes.sort(Comparator.comparingInt(Mistake::line));
-            throw new ConfigException(mistakes);
+    /** Throws a {@link ConfigException} if there is any error. */
+    public void throwIfAny() {
+        if (!errors.isEmpty()) {
+            errors.sort(Comparator.comparingInt(ConfigError::line));
+            throw new ConfigException(errors);
         }
     }
 }
--- a/config/src/main/java/pearladder/config/ConfigValue.java
+++ b/config/src/main/java/pearladder/config/ConfigValue.java
@@ -11,23 +11,23 @@
 import java.util.function.Function;
 
 /**
- * A value of a configuration file. A reader that finds a mistake reports it and returns a default, so that one
- * pass finds all mistakes; {@link #done} then reports keys that were not read, and throws.
+ * A value in a configuration file. An accessor that finds an error records it and returns a default, so that one pass
+ * finds all errors; {@link #done} then reports keys that were not read and throws an exception if there is any error.
  */
 public final class ConfigValue {
     private static final Map<String, Double> SECONDS_BY_UNIT =
             Map.of("us", 1e-6, "ms", 1e-3, "s", 1.0, "min", 60.0, "h", 3600.0);
     private static final Map<String, Double> BYTES_BY_UNIT = Map.of("B", 1.0, "KB", 1e3, "MB", 1e6, "GB", 1e9);
 
-    private final ConfigErrors mistakes;
+    private final ConfigErrors errors;
     private final String path;
     private final int line;
     private final Object raw;
-    private final Set<String> read = new HashSet<>();
-    private final Map<String, ConfigValue> missing = new LinkedHashMap<>();
+    private final Set<String> readKeys = new HashSet<>();
+    private final Map<String, ConfigValue> missingValues = new LinkedHashMap<>();
 
-    ConfigValue(ConfigErrors mistakes, String path, int line, Object raw) {
-        this.mistakes = mistakes;
+    ConfigValue(ConfigErrors errors, String path, int line, Object raw) {
+        this.errors = errors;
         this.path = path;
         this.line = line;
         this.raw = raw;
@@ -37,29 +37,29 @@
         return raw;
     }
 
-    /** The key with its parents, separated by dots; empty for the whole file. */
+    /** Returns the key with its parent keys, separated by dots; empty for the whole file. */
     public String path() {
         return path;
     }
 
-    /** The line in the file, from 1. */
+    /** Returns the line number in the file, from 1. */
     public int line() {
         return line;
     }
 
-    /** Whether the key is in the file, with a value. */
+    /** Returns whether the file contains the key with a value. */
     public boolean isGiven() {
         return raw != null;
     }
 
     /**
-     * Reports a mistake at this value.
+     * Records an error in this value.
      *
-     * @param what is wrong
-     * @param mend what to do
+     * @param problem what is wrong
+     * @param remedy how to correct it
      */
-    public void addMistake(String what, String mend) {
-        mistakes.add(line, path, what, mend);
+    public void addMistake(String problem, String remedy) {
+        errors.add(line, path, problem, remedy);
     }
 
     private Map<?, ?> map() {
@@ -69,31 +69,31 @@
         if (raw instanceof Map<?, ?> map) {
             return map;
         }
-        addMistake("keys and values were expected", "write \"key: value\" lines, indented below " + name());
+        addMistake("keys and values were expected", "write \"key: value\" lines, indented below " + displayName());
         return Map.of();
     }
 
-    private String name() {
+    private String displayName() {
         return path.isEmpty() ? "the file" : path;
     }
 
-    /** The value of a key; a missing one is not {@link #isGiven}, and has this value's line. */
+    /** Returns the value of a key; if it is missing, a value that is not {@link #isGiven} and has this value's line. */
     public ConfigValue at(String key) {
-        read.add(key);
+        readKeys.add(key);
         Object inner = map().get(key);
         if (inner instanceof ConfigValue value) {
             return value;
         }
-        return missing.computeIfAbsent(
-                key, absent -> new ConfigValue(mistakes, path.isEmpty() ? key : path + "." + key, line, null));
+        return missingValues.computeIfAbsent(
+                key, absent -> new ConfigValue(errors, path.isEmpty() ? key : path + "." + key, line, null));
     }
 
-    /** The keys, in the file's order. */
+    /** Returns the keys in the order of the file. */
     public List<String> keys() {
         return map().keySet().stream().map(Object::toString).toList();
     }
 
-    /** Reads each value of a map with its key, in the file's order. */
+    /** Reads each value of a map with its key, in the order of the file. */
     public <T> Map<String, T> eachKey(BiFunction<String, ConfigValue, T> reader) {
         Map<String, T> values = new LinkedHashMap<>();
         for (String key : keys()) {
@@ -124,22 +124,22 @@
         }
         addMistake(
                 raw == null ? "a value is missing" : "a single value was expected",
-                "write it behind \"" + name() + ": \"");
+                "write it after \"" + displayName() + ": \"");
         return null;
     }
 
-    /** A text; reports a mistake where it is missing. */
+    /** Returns the text; records an error if it is missing. */
     public String text() {
         String text = scalar();
         return text == null ? "" : text;
     }
 
-    /** A text, or a default where it is missing. */
+    /** Returns the text, or a default if it is missing. */
     public String text(String defaultText) {
         return raw == null ? defaultText : text();
     }
 
-    /** A number within bounds; reports a mistake where it is missing. */
+    /** Returns a number within bounds; records an error if it is missing. */
     public double number(double min, double max) {
         String text = scalar();
         if (text == null) {
@@ -150,33 +150,35 @@
             if (number >= min && number <= max) {
                 return number;
             }
-            addMistake("a number from " + plain(min) + " to " + plain(max) + " was expected, not " + text, "change it");
-        } catch (NumberFormatException none) {
+            addMistake(
+                    "a number from " + formatNumber(min) + " to " + formatNumber(max) + " was expected, not " + text,
+                    "change the value");
+        } catch (NumberFormatException malformed) {
             addMistake("a number was expected, not \"" + text + "\"", "write a number without a unit");
         }
         return min;
     }
 
-    /** A number within bounds, or a default where it is missing. */
+    /** Returns a number within bounds, or a default if it is missing. */
     public double number(double defaultNumber, double min, double max) {
         return raw == null ? defaultNumber : number(min, max);
     }
 
-    /** A whole number within bounds; reports a mistake where it is missing. */
+    /** Returns a whole number within bounds; records an error if it is missing. */
     public int whole(int min, int max) {
         double number = number(min, max);
         if (number != Math.rint(number)) {
-            addMistake("a whole number was expected", "leave out what stands behind the point");
+            addMistake("a whole number was expected", "remove the decimal places");
         }
         return (int) number;
     }
 
-    /** A whole number within bounds, or a default where it is missing. */
+    /** Returns a whole number within bounds, or a default if it is missing. */
     public int whole(int defaultNumber, int min, int max) {
         return raw == null ? defaultNumber : whole(min, max);
     }
 
-    /** True or false, or a default where it is missing. */
+    /** Returns true or false, or a default if it is missing. */
     public boolean flag(boolean defaultFlag) {
         if (raw == null) {
             return defaultFlag;
@@ -189,8 +191,8 @@
         return defaultFlag;
     }
 
-    /** A number in the units' base; 0 where there is a mistake. */
-    private double withUnit(Map<String, Double> units, String what, String example) {
+    /** Returns a number converted to the base unit; 0 if there is an error. */
+    private double numberWithUnit(Map<String, Double> units, String quantity, String example) {
         String text = scalar();
         if (text == null) {
             return 0;
@@ -207,10 +209,10 @@
                 return number * unit;
             }
             addMistake(
-                    what + " with its unit was expected, not \"" + text + "\"",
+                    quantity + " with its unit was expected, not \"" + text + "\"",
                     "write for example \"" + example + "\"");
-        } catch (NumberFormatException none) {
-            addMistake(what + " was expected, not \"" + text + "\"", "write for example \"" + example + "\"");
+        } catch (NumberFormatException malformed) {
+            addMistake(quantity + " was expected, not \"" + text + "\"", "write for example \"" + example + "\"");
         }
         return 0;
     }
@@ -219,30 +221,30 @@
         return Character.isDigit(character) || character == '.';
     }
 
-    /** A duration in nanoseconds, written with its unit: us, ms, s, min or h. */
+    /** Returns a duration in nanoseconds, written with its unit: us, ms, s, min or h. */
     public long span() {
-        return Math.round(withUnit(SECONDS_BY_UNIT, "a span of time", "8 s") * 1e9);
+        return Math.round(numberWithUnit(SECONDS_BY_UNIT, "a span of time", "8 s") * 1e9);
     }
 
-    /** A duration in nanoseconds, or a default written with its unit; null where there is none. */
+    /** Returns a duration in nanoseconds, or a default that is written with its unit; required if that is null. */
     public long span(String defaultSpan) {
-        return raw != null ? span() : new ConfigValue(mistakes, path, line, defaultSpan).span();
+        return raw != null ? span() : new ConfigValue(errors, path, line, defaultSpan).span();
     }
 
-    /** A size in bytes, written with its unit: B, KB, MB or GB, in powers of ten. */
+    /** Returns a size in bytes, written with its unit: B, KB, MB or GB, in powers of ten. */
     public long bytes() {
-        return Math.round(withUnit(BYTES_BY_UNIT, "a size", "512 MB"));
+        return Math.round(numberWithUnit(BYTES_BY_UNIT, "a size", "512 MB"));
     }
 
-    /** A size in bytes, or a default written with its unit. */
+    /** Returns a size in bytes, or a default that is written with its unit. */
     public long bytes(String defaultSize) {
-        return raw != null ? bytes() : new ConfigValue(mistakes, path, line, defaultSize).bytes();
+        return raw != null ? bytes() : new ConfigValue(errors, path, line, defaultSize).bytes();
     }
 
     /**
-     * A constant of an enum, written in lower case with hyphens.
+     * Returns a constant of an enum, written in lower case with hyphens.
      *
-     * @param defaultValue null where the key must be there
+     * @param defaultValue null if the key is required
      */
     public <E extends Enum<E>> E word(Class<E> type, E defaultValue) {
         if (raw == null && defaultValue != null) {
@@ -263,44 +265,44 @@
         return defaultValue != null ? defaultValue : type.getEnumConstants()[0];
     }
 
-    /** Reports every key below this value that was not read. */
-    public void close() {
+    /** Records an error for each key below this value that was not read. */
+    public void reportUnreadKeys() {
         if (raw instanceof Map<?, ?> map) {
             for (Map.Entry<?, ?> entry : map.entrySet()) {
                 ConfigValue inner = (ConfigValue) entry.getValue();
-                if (!read.contains(entry.getKey())) {
-                    inner.addMistake("unknown key", "take it out" + alternatives());
+                if (!readKeys.contains(entry.getKey())) {
+                    inner.addMistake("unknown key", "remove it" + alternatives());
                 } else {
-                    inner.close();
+                    inner.reportUnreadKeys();
                 }
             }
         } else if (raw instanceof List<?> list) {
-            list.forEach(inner -> ((ConfigValue) inner).close());
+            list.forEach(inner -> ((ConfigValue) inner).reportUnreadKeys());
         }
     }
 
     private String alternatives() {
-        return read.isEmpty()
+        return readKeys.isEmpty()
                 ? ""
                 : ", or write one of "
-                        + String.join(", ", read.stream().sorted().toList());
+                        + String.join(", ", readKeys.stream().sorted().toList());
     }
 
-    /** Ends the reading of some sections of a file that has others for other readers. */
+    /** Ends reading of some sections of a file whose other sections are read elsewhere; throws like {@link #done()}. */
     public void done(Set<String> sections) {
         for (String section : sections) {
-            at(section).close();
+            at(section).reportUnreadKeys();
         }
-        mistakes.raise();
+        errors.throwIfAny();
     }
 
-    /** Ends the reading of a file: throws {@link ConfigErrors.ConfigException} if anything was wrong. */
+    /** Ends reading of a file; throws a {@link ConfigErrors.ConfigException} if there was any error. */
     public void done() {
-        close();
-        mistakes.raise();
+        reportUnreadKeys();
+        errors.throwIfAny();
     }
 
-    private static String plain(double number) {
+    private static String formatNumber(double number) {
         return number == Math.rint(number) && Math.abs(number) < 1e15
                 ? Long.toString((long) number)
                 : Double.toString(number);
--- a/config/src/main/java/pearladder/config/YamlParser.java
+++ b/config/src/main/java/pearladder/config/YamlParser.java
@@ -12,65 +12,65 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parses a YAML file into values that know their line. Anchors and several documents are not supported. */
+/** Parses a YAML file into values with line numbers. Anchors and multiple documents are not supported. */
 public final class YamlParser {
     private final JsonParser parser;
-    private final ConfigErrors mistakes;
+    private final ConfigErrors errors;
 
-    private YamlParser(JsonParser parser, ConfigErrors mistakes) {
+    private YamlParser(JsonParser parser, ConfigErrors errors) {
         this.parser = parser;
-        this.mistakes = mistakes;
+        this.errors = errors;
     }
 
-    /** Parses a file; throws {@link ConfigErrors.ConfigException} where it can't be read or is not YAML. */
+    /** Parses a file; throws a {@link ConfigErrors.ConfigException} if it can't be read or is not valid YAML. */
     public static ConfigValue read(Path file) {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException unreadable) {
-            throw new ConfigErrors.ConfigException(List.of(new ConfigErrors.Mistake(
+            throw new ConfigErrors.ConfigException(List.of(new ConfigErrors.ConfigError(
                     file.toString(),
                     1,
                     "",
                     "the file can't be read",
-                    "check that it is there, is UTF-8 and may be read")));
+                    "check that it exists, is UTF-8 and may be read")));
         }
         return read(file.toString(), text);
     }
 
-    /** Parses a text; mistakes are reported under a file's name. */
+    /** Parses a text; errors are reported with a file's name. */
     public static ConfigValue read(String file, String text) {
-        ConfigErrors mistakes = new ConfigErrors(file);
+        ConfigErrors errors = new ConfigErrors(file);
         try (JsonParser parser = new YAMLFactory().createParser(text)) {
-            YamlParser yaml = new YamlParser(parser, mistakes);
+            YamlParser yaml = new YamlParser(parser, errors);
             JsonToken first = parser.nextToken();
             ConfigValue value = first == null
-                    ? new ConfigValue(mistakes, "", 1, new LinkedHashMap<String, ConfigValue>())
-                    : yaml.value("", first);
-            mistakes.raise();
+                    ? new ConfigValue(errors, "", 1, new LinkedHashMap<String, ConfigValue>())
+                    : yaml.parseValue("", first);
+            errors.throwIfAny();
             return value;
         } catch (JsonProcessingException malformed) {
             int line = malformed.getLocation() == null
                     ? 1
                     : Math.max(1, malformed.getLocation().getLineNr());
-            String what = malformed
+            String problem = malformed
                     .getOriginalMessage()
                     .lines()
                     .findFirst()
                     .orElse("")
                     .trim();
-            throw new ConfigErrors.ConfigException(List.of(new ConfigErrors.Mistake(
+            throw new ConfigErrors.ConfigException(List.of(new ConfigErrors.ConfigError(
                     file,
                     line,
                     "",
-                    "not YAML: " + what,
-                    "check indents, colons and quotes at this line and the one before")));
+                    "invalid YAML: " + problem,
+                    "check indentation, colons and quotes in this line and the one before")));
         } catch (IOException impossible) {
             throw new IllegalStateException(impossible);
         }
     }
 
-    private ConfigValue value(String path, JsonToken token) throws IOException {
+    private ConfigValue parseValue(String path, JsonToken token) throws IOException {
         int line = parser.currentTokenLocation().getLineNr();
         if (token == JsonToken.START_OBJECT) {
             Map<String, ConfigValue> map = new LinkedHashMap<>();
@@ -78,21 +78,21 @@
                 String key = parser.currentName();
                 int keyLine = parser.currentTokenLocation().getLineNr();
                 String inner = path.isEmpty() ? key : path + "." + key;
-                ConfigValue value = value(inner, parser.nextToken());
-                if (map.putIfAbsent(key, new ConfigValue(mistakes, inner, keyLine, value.raw())) != null) {
-                    mistakes.add(keyLine, inner, "the key stands twice", "keep one of them");
+                ConfigValue value = parseValue(inner, parser.nextToken());
+                if (map.putIfAbsent(key, new ConfigValue(errors, inner, keyLine, value.raw())) != null) {
+                    errors.add(keyLine, inner, "duplicate key", "remove one of the two");
                 }
             }
-            return new ConfigValue(mistakes, path, line, map);
+            return new ConfigValue(errors, path, line, map);
         }
         if (token == JsonToken.START_ARRAY) {
             List<ConfigValue> list = new ArrayList<>();
             JsonToken inner;
             while ((inner = parser.nextToken()) != JsonToken.END_ARRAY) {
-                list.add(value(path + "[" + list.size() + "]", inner));
+                list.add(parseValue(path + "[" + list.size() + "]", inner));
             }
-            return new ConfigValue(mistakes, path, line, list);
+            return new ConfigValue(errors, path, line, list);
         }
-        return new ConfigValue(mistakes, path, line, token == JsonToken.VALUE_NULL ? null : parser.getText());
+        return new ConfigValue(errors, path, line, token == JsonToken.VALUE_NULL ? null : parser.getText());
     }
 }
--- a/config/src/main/java/pearladder/config/package-info.java
+++ b/config/src/main/java/pearladder/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Checked YAML configuration: {@link pearladder.config.YamlParser} parses a file into
- * {@link pearladder.config.ConfigValue}s, whose readers collect every mistake with its line and key.
+ * Validated YAML configuration: {@link pearladder.config.YamlParser} parses a file into
+ * {@link pearladder.config.ConfigValue}s, whose accessors collect all errors with line and key.
  */
 package pearladder.config;
--- a/config/src/test/java/pearladder/config/YamlTest.java
+++ b/config/src/test/java/pearladder/config/YamlTest.java
@@ -15,17 +15,17 @@
         DARK_BLUE
     }
 
-    private static List<String> mistakes(String text, Consumer<ConfigValue> reading) {
+    private static List<String> errors(String text, Consumer<ConfigValue> reader) {
         ConfigErrors.ConfigException found = assertThrows(ConfigErrors.ConfigException.class, () -> {
             ConfigValue value = YamlParser.read("f.yaml", text);
-            reading.accept(value);
+            reader.accept(value);
             value.done();
         });
         return found.getMessage().lines().toList();
     }
 
     @Test
-    void valuesAreReadWithTheirUnits() {
+    void valuesAreReadInBaseUnits() {
         ConfigValue value = YamlParser.read(
                 "f.yaml", "a: 8 s\nb: 512 MB\nc: [1, 2]\nd: dark-blue\ne: 2.5\nf: true\ng: {h: x}\n" + "i: 1.5 ms\n");
         assertEquals(8_000_000_000L, value.at("a").span());
@@ -42,15 +42,15 @@
     }
 
     @Test
-    void everyMistakeIsNamedWithLineKeyAndMend() {
+    void allErrorsAreReportedWithLineKeyAndRemedy() {
         assertEquals(
                 List.of(
                         "f.yaml:1: a: a span of time with its unit was expected, not \"8\"; write for example \"8 s\"",
-                        "f.yaml:2: b: a number from 0 to 3 was expected, not 4; change it",
+                        "f.yaml:2: b: a number from 0 to 3 was expected, not 4; change the value",
                         "f.yaml:3: c: unknown word \"green\"; write one of red, dark-blue",
                         "f.yaml:4: d: a list was expected; write \"- \" before each entry",
-                        "f.yaml:5: f: unknown key; take it out, or write one of a, b, c, d, e"),
-                mistakes("a: 8\nb: 4\nc: green\nd: 1\nf: 2\n", value -> {
+                        "f.yaml:5: f: unknown key; remove it, or write one of a, b, c, d, e"),
+                errors("a: 8\nb: 4\nc: green\nd: 1\nf: 2\n", value -> {
                     value.at("a").span();
                     value.at("b").number(0, 3);
                     value.at("c").word(Colour.class, null);
@@ -60,10 +60,10 @@
     }
 
     @Test
-    void aMissingValueNamesTheLineThatItBelongsTo() {
+    void aMissingValueIsReportedWithTheLineOfItsParent() {
         assertEquals(
-                List.of("f.yaml:2: a.b: a value is missing; write it behind \"a.b: \""),
-                mistakes("x: 1\na: {c: 1}\n", value -> {
+                List.of("f.yaml:2: a.b: a value is missing; write it after \"a.b: \""),
+                errors("x: 1\na: {c: 1}\n", value -> {
                     value.at("x").whole(0, 1);
                     value.at("a").at("c").whole(0, 1);
                     value.at("a").at("b").text();
@@ -71,11 +71,11 @@
     }
 
     @Test
-    void whatIsNotYamlAndKeysThatStandTwiceAreMistakes() {
-        assertTrue(mistakes("a: [1\nb: 2\n", value -> {}).get(0).startsWith("f.yaml:"));
+    void invalidYamlDuplicateKeysAndMissingFilesAreErrors() {
+        assertTrue(errors("a: [1\nb: 2\n", value -> {}).get(0).startsWith("f.yaml:"));
         assertEquals(
-                List.of("f.yaml:3: a: the key stands twice; keep one of them"),
-                mistakes("a: 1\nb: 2\na: 3\n", value -> {}));
+                List.of("f.yaml:3: a: duplicate key; remove one of the two"),
+                errors("a: 1\nb: 2\na: 3\n", value -> {}));
         assertTrue(assertThrows(ConfigErrors.ConfigException.class, () -> YamlParser.read(Path.of("no/such.yaml")))
                 .getMessage()
                 .startsWith("no/such.yaml:1: the file can't be read"));
