--- a/simulator-adapter/src/main/java/pearladder/simulator/ActionWriter.java
+++ b/simulator-adapter/src/main/java/pearladder/simulator/ActionWriter.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import pearladder.routing.api.Action;
 
-/** Writes the actions of one router as lines of the simulator's protocol, each a JSON array. */
+/** Writes the actions of routers as lines of the simulator's protocol, each of them a JSON array. */
 final class ActionWriter {
     private final JsonGenerator reply;
 
@@ -12,7 +12,7 @@
         this.reply = reply;
     }
 
-    /** Ends the reply to a batch. */
+    /** Writes the end of the reply to a batch. */
     void writeFinished() throws IOException {
         reply.writeStartArray();
         reply.writeString("Finished");
@@ -21,8 +21,8 @@
         reply.flush();
     }
 
-    /** Reports that a router failed and will not be called again. */
-    void writeFault(long router, String cause) throws IOException {
+    /** Reports that a router's policy failed and is not called any more. */
+    void writePolicyFailure(long router, String cause) throws IOException {
         writeMessage("GiveIn", router, cause);
     }
 
@@ -67,11 +67,11 @@
         } else if (action instanceof Action.SendGossip gossip) {
             writeMessage("Post", router, gossip.peer(), gossip.text());
         } else {
-            throw new IOException("the simulator knows no action " + action);
+            throw new IOException("the simulator's protocol has no message for action " + action);
         }
     }
 
-    /** @param values texts, numbers, flags or null */
+    /** @param values strings, numbers, booleans or null */
     private void writeMessage(String name, long router, Object... values) throws IOException {
         reply.writeStartArray();
         reply.writeString(name);
--- a/simulator-adapter/src/main/java/pearladder/simulator/EventReader.java
+++ b/simulator-adapter/src/main/java/pearladder/simulator/EventReader.java
@@ -16,7 +16,7 @@
 import pearladder.settings.JsonRowReader;
 import pearladder.settings.LoadReport;
 
-/** Reads events from the simulator's messages; the values of a message are read in their order on the line. */
+/** Reads events from the simulator's messages; reads the values of a message in the order of the line. */
 final class EventReader {
     private static final Map<String, Outcome> OUTCOMES = Map.of(
             "success",
@@ -54,14 +54,14 @@
         InstanceStatus.LOAD_FAILED
     };
 
-    /** The detail of an ended attempt holds a status in its lowest digit to this base; a count is above it. */
-    private static final int DETAIL_STATUSES = 8;
+    /** The detail of an ended attempt is its count of concurrent requests times this, plus its instance status. */
+    private static final int DETAIL_STATUS_BASE = 8;
 
     private static final int MIN_ENDPOINT_VALUES = 6;
 
     private final Map<Long, List<Endpoint>> endpointTables = new HashMap<>();
 
-    /** Reads the event that a message holds; the row stands behind the router's number. */
+    /** Reads the event of a message; the row is positioned after the router's number. */
     Event read(String name, JsonRowReader row) {
         return switch (name) {
             case "DirectoryUpdate" -> endpointsUpdated(row);
@@ -85,10 +85,10 @@
         String mode = row.text("Mode");
         row.wholeNumberOrNull("Gen");
         Long table = row.wholeNumberOrNull("Table");
-        EndpointUpdateKind kind = constant(row, "Mode", UPDATE_KINDS, mode);
+        EndpointUpdateKind kind = constantOf(row, "Mode", UPDATE_KINDS, mode);
         List<Endpoint> endpoints = kind == EndpointUpdateKind.FAILED ? List.of() : endpointTables.get(table);
         if (endpoints == null) {
-            throw row.bad("Table", "no such roster");
+            throw row.bad("Table", "no endpoint list with this number was received");
         }
         return new Event.EndpointsUpdated(kind, endpoints);
     }
@@ -133,7 +133,7 @@
                 row.flag("Write"));
     }
 
-    /** A text; where there are no tenants, null or 0. */
+    /** Reads the tenant's name; null if the message has null or 0, as it does without tenants. */
     private static String tenant(JsonRowReader row) {
         Object tenant = row.tree("Org");
         if (tenant == null || tenant instanceof Number number && number.longValue() == 0) {
@@ -142,7 +142,7 @@
         if (tenant instanceof String name) {
             return name;
         }
-        throw row.bad("Org", "a text was expected");
+        throw row.bad("Org", "a string was expected");
     }
 
     private static Event attemptEnded(JsonRowReader row) {
@@ -155,9 +155,9 @@
         TimeSpan elapsed = new TimeSpan(row.wholeNumber("TookNs"));
         int attempt = (int) row.wholeNumber("SeqNo");
         boolean counted = outcome == Outcome.SUCCESS || outcome == Outcome.FULL;
-        int status = detail % DETAIL_STATUSES;
+        int status = detail % DETAIL_STATUS_BASE;
         if (detail < 0 || status >= INSTANCE_STATUSES.length) {
-            throw row.bad("Detail", "unknown note " + detail);
+            throw row.bad("Detail", "invalid detail " + detail);
         }
         return new Event.AttemptEnded(
                 requestId,
@@ -167,12 +167,12 @@
                 elapsed,
                 requestCompleted,
                 INSTANCE_STATUSES[status],
-                counted ? detail / DETAIL_STATUSES : 0,
+                counted ? detail / DETAIL_STATUS_BASE : 0,
                 report(row));
     }
 
     private static Outcome outcome(JsonRowReader row) {
-        return constant(row, "Verdict", OUTCOMES, row.text("Verdict"));
+        return constantOf(row, "Verdict", OUTCOMES, row.text("Verdict"));
     }
 
     private static WorkerLoadReport report(JsonRowReader row) {
@@ -183,7 +183,7 @@
         return LoadReport.of(value -> load.at(value).number(Double.NaN));
     }
 
-    /** Reads an endpoint list and keeps it under its number, for the updates that refer to it. */
+    /** Reads an endpoint list and stores it by its number for the updates that refer to it. */
     void readEndpointTable(JsonRowReader row) {
         long table = row.wholeNumber("Table");
         JsonNodeReader entries = new JsonNodeReader(row, "Entries", row.tree("Entries"));
@@ -193,7 +193,7 @@
     private static Endpoint endpoint(JsonNodeReader entry) {
         List<JsonNodeReader> values = entry.each(value -> value);
         if (values.size() < MIN_ENDPOINT_VALUES) {
-            throw entry.row().bad(entry.path(), "an entry has at least six values");
+            throw entry.row().bad(entry.path(), "an entry with at least six values was expected");
         }
         TimeSpan startedAt = values.size() > MIN_ENDPOINT_VALUES ? values.get(6).span() : TimeSpan.ZERO;
         return new Endpoint(
@@ -206,10 +206,10 @@
                 startedAt.nanos() == 0 ? null : new MonotonicTime(startedAt.nanos()));
     }
 
-    private static <T> T constant(JsonRowReader row, String field, Map<String, T> constants, String word) {
-        T constant = constants.get(word);
+    private static <T> T constantOf(JsonRowReader row, String field, Map<String, T> constantsByName, String name) {
+        T constant = constantsByName.get(name);
         if (constant == null) {
-            throw row.bad(field, "unknown word " + word);
+            throw row.bad(field, "unknown word " + name);
         }
         return constant;
     }
--- a/simulator-adapter/src/main/java/pearladder/simulator/SimulatorAdapter.java
+++ b/simulator-adapter/src/main/java/pearladder/simulator/SimulatorAdapter.java
@@ -26,11 +26,11 @@
 import pearladder.settings.JsonRowReader;
 import pearladder.settings.RoutingSettingsParser;
 
-/** Hosts many routers' policies on the simulator's protocol: batches of lines in, one reply a batch out. */
+/** Runs the policies of any number of routers on the simulator's protocol: replies once to each batch of lines. */
 public final class SimulatorAdapter {
     /** Creates the policy of one router. */
     public interface PolicyFactory {
-        /** Creates a policy that has handled no event yet. */
+        /** Creates a policy without state. */
         RoutingPolicy create(long seed, RoutingSettings settings);
     }
 
@@ -40,20 +40,20 @@
     private final JsonFactory json = new JsonFactory();
     private final EventReader eventReader = new EventReader();
     private final Map<Long, RoutingPolicy> policies = new HashMap<>();
-    private final Set<Long> faulted = new HashSet<>();
+    private final Set<Long> failedRouters = new HashSet<>();
     private MonotonicTime now;
     private boolean inBatch;
     private long line;
 
-    /** An adapter without routers; the simulator begins them. */
+    /** Creates an adapter without routers, which are started by the simulator's messages. */
     public SimulatorAdapter(PolicyFactory factory) {
         this.factory = factory;
     }
 
     /**
-     * Answers batches until the input ends.
+     * Replies to batches until the input ends.
      *
-     * @throws InvalidInputException if a line breaks the protocol; the message names the line and the field
+     * @throws InvalidInputException if a line violates the protocol; the message names the line and the field
      */
     public void serve(InputStream in, OutputStream out) throws IOException {
         BufferedReader reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_BYTES);
@@ -81,14 +81,14 @@
             } else if (inBatch) {
                 handleMessage(message, row, writer);
             } else {
-                throw row.bad("message", message + " came outside a batch");
+                throw row.bad("message", message + " outside a batch");
             }
         }
     }
 
     private void beginBatch(JsonRowReader row) {
         if (inBatch) {
-            throw row.bad("message", "a batch begins inside another");
+            throw row.bad("message", "a batch begins before the previous one has ended");
         }
         now = new MonotonicTime(row.wholeNumber("clock"));
         inBatch = true;
@@ -115,10 +115,10 @@
     private void beginRouter(JsonRowReader row) {
         long router = row.wholeNumber("I");
         long seed = row.wholeNumber("RandomSeed");
-        Object facts = row.requirePresent("Facts", row.tree("Facts"));
-        RoutingSettings settings = RoutingSettingsParser.read(new JsonNodeReader(row, "Facts", facts));
+        Object settingsTree = row.requirePresent("Facts", row.tree("Facts"));
+        RoutingSettings settings = RoutingSettingsParser.read(new JsonNodeReader(row, "Facts", settingsTree));
         row.close();
-        faulted.remove(router);
+        failedRouters.remove(router);
         policies.put(router, factory.create(seed, settings));
     }
 
@@ -134,16 +134,16 @@
         RoutingPolicy policy = policy(row, router);
         Event event = eventReader.read(message, row);
         row.close();
-        if (faulted.contains(router)) {
+        if (failedRouters.contains(router)) {
             return;
         }
         List<Action> actions;
         try {
             actions = policy.handle(now, event);
         } catch (RuntimeException failure) {
-            faulted.add(router);
+            failedRouters.add(router);
             StackTraceElement[] trace = failure.getStackTrace();
-            writer.writeFault(router, failure + (trace.length > 0 ? " at " + trace[0] : ""));
+            writer.writePolicyFailure(router, failure + (trace.length > 0 ? " at " + trace[0] : ""));
             return;
         }
         for (Action action : actions) {
@@ -154,7 +154,7 @@
     private RoutingPolicy policy(JsonRowReader row, long router) {
         RoutingPolicy policy = policies.get(router);
         if (policy == null) {
-            throw row.bad("I", "instance " + router + " has not begun");
+            throw row.bad("I", "router " + router + " has not been started");
         }
         return policy;
     }
--- a/simulator-adapter/src/test/java/pearladder/simulator/SimulatorAdapterTest.java
+++ b/simulator-adapter/src/test/java/pearladder/simulator/SimulatorAdapterTest.java
@@ -26,7 +26,7 @@
             + "[{\"Name\":\"c\",\"Effect\":\"guarded\",\"AimNs\":5,\"DedupScope\":\"zone\"}],\"Rules\":"
             + "{\"StartCapacity\":0.25}}]";
 
-    private static final List<Action> EACH_ACTION = List.of(
+    private static final List<Action> ALL_ACTIONS = List.of(
             new Action.SendAttempt("t", "w", TimeSpan.millis(80)),
             new Action.Reject("t", TimeSpan.millis(1)),
             new Action.Fail("t"),
@@ -40,7 +40,7 @@
             new Action.PollEndpoints(),
             new Action.SendGossip(null, "hi"),
             new Action.Log("said"));
-    private static final List<String> EACH_ACTION_WRITTEN = List.of(
+    private static final List<String> ALL_ACTIONS_WRITTEN = List.of(
             "[\"Relay\",3,\"t\",\"w\",80000000]",
             "[\"Decline\",3,\"t\",1000000]",
             "[\"ReportFailure\",3,\"t\"]",
@@ -57,16 +57,16 @@
             "[\"Finished\"]");
 
     private final List<Event> events = new ArrayList<>();
-    private final List<RoutingSettings> facts = new ArrayList<>();
-    private List<Action> answer = List.of();
+    private final List<RoutingSettings> receivedSettings = new ArrayList<>();
+    private List<Action> actions = List.of();
 
     private String serve(String... lines) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter((seed, settings) -> {
-                    facts.add(settings);
+                    receivedSettings.add(settings);
                     return (now, event) -> {
                         events.add(event);
-                        return answer;
+                        return actions;
                     };
                 })
                 .serve(new ByteArrayInputStream(String.join("\n", lines).getBytes(StandardCharsets.UTF_8)), out);
@@ -80,14 +80,14 @@
 
     @Test
     void eventsAreReadAndActionsWritten() throws IOException {
-        answer = EACH_ACTION;
+        actions = ALL_ACTIONS;
         String reply = serve(
                 "[\"Frame\",5]",
                 BEGIN,
                 "[\"Settled\",3,\"t\",true,17,\"w\",\"success\",18500000,0,{\"backlog\":3,\"x1\":1.25}]",
                 "[\"Commit\"]");
         assertEquals(
-                EACH_ACTION_WRITTEN,
+                ALL_ACTIONS_WRITTEN,
                 reply.lines().filter(line -> !line.isBlank()).toList());
         Event.AttemptEnded ended = (Event.AttemptEnded) events.get(0);
         assertEquals(Outcome.SUCCESS, ended.outcome());
@@ -96,15 +96,15 @@
         assertEquals(3, ended.loadReport().backlog());
         assertEquals(
                 RoutingSettings.Idempotency.FINGERPRINTED,
-                facts.get(0).requestClasses().get(0).idempotency());
+                receivedSettings.get(0).requestClasses().get(0).idempotency());
         assertEquals(
                 RoutingSettings.DeduplicationScope.ZONE,
-                facts.get(0).requestClasses().get(0).deduplicationScope());
-        assertEquals(0.25, facts.get(0).slowStart().initialCapacityShare());
+                receivedSettings.get(0).requestClasses().get(0).deduplicationScope());
+        assertEquals(0.25, receivedSettings.get(0).slowStart().initialCapacityShare());
     }
 
     @Test
-    void endpointTablesAreResolvedInTheOrderOfEventsAndRoutersRestart() throws IOException {
+    void endpointListsAreResolvedInTheOrderOfTheLinesAndRoutersCanRestart() throws IOException {
         serve(
                 "[\"Frame\",5]",
                 BEGIN,
@@ -126,11 +126,11 @@
         assertEquals(Event.EndpointUpdateKind.FAILED, ((Event.EndpointsUpdated) events.get(2)).kind());
         assertEquals(new Event.TimerFired("sweep"), events.get(3));
         assertEquals(TimeSpan.millis(900), ((Event.RequestArrived) events.get(4)).typicalLoadTime());
-        assertEquals(2, facts.size());
+        assertEquals(2, receivedSettings.size());
     }
 
     @Test
-    void failureInsideThePolicyIsReportedOnce() throws IOException {
+    void aPolicyFailureIsReportedOnce() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         String lines = "[\"Frame\",5]\n" + BEGIN + "\n[\"Due\",3,\"x\"]\n[\"Due\",3,\"y\"]\n[\"Commit\"]";
         new SimulatorAdapter((seed, settings) -> (now, event) -> {
@@ -159,9 +159,9 @@
                 "[\"Begin\",4,1,{\"Caps\":{\"MaxAttempts\":true}}] | line 3, Facts.Caps.MaxAttempts",
                 "[\"Roster\",0,[[\"a\",\"z\",\"k\",0,\"gone\",1]]] | line 3, Entries[0][4]"
             })
-    void invalidInputNamesTheLineAndTheField(String line, String named) {
-        InvalidInputException bad =
+    void errorsOnInvalidInputNameTheLineAndTheField(String line, String position) {
+        InvalidInputException invalid =
                 assertThrows(InvalidInputException.class, () -> serve("[\"Frame\",5]", BEGIN, line, "[\"Commit\"]"));
-        assertTrue(bad.getMessage().startsWith(named), bad.getMessage());
+        assertTrue(invalid.getMessage().startsWith(position), invalid.getMessage());
     }
 }
