--- a/kserve/src/main/java/pearladder/kserve/DiscoveryMessage.java
+++ b/kserve/src/main/java/pearladder/kserve/DiscoveryMessage.java
@@ -10,19 +10,19 @@
 import java.util.List;
 
 /**
- * A message of the discovery service: one line with a JSON object that holds the complete endpoint list, changes
- * to it, or nothing but a heartbeat.
+ * A message of the discovery service: one line with a JSON object that contains the complete endpoint list, changes
+ * to it, or only a heartbeat.
  *
- * @param kind complete list, changes or heartbeat
- * @param version of the endpoint list after this message; only grows
- * @param entries the workers that it names
+ * @param kind kind of the message's content
+ * @param version version of the endpoint list after this message; never decreases
+ * @param entries the workers in the message
  */
 public record DiscoveryMessage(Kind kind, long version, List<Entry> entries) {
-    /** What a message holds. */
+    /** The kind of a message's content. */
     public enum Kind {
-        /** The complete list. */
+        /** The complete endpoint list. */
         WHOLE("whole"),
-        /** Entries that are new or have changed. */
+        /** New and changed entries. */
         CHANGES("changes"),
         /** A heartbeat. */
         BEAT("beat");
@@ -33,7 +33,7 @@
             this.code = code;
         }
 
-        /** The word in a message; part of the protocol. */
+        /** Returns the name in messages; part of the protocol. */
         public String code() {
             return code;
         }
@@ -50,11 +50,11 @@
 
     /** A worker's state. */
     public enum WorkerState {
-        /** Takes requests. */
+        /** Accepts requests. */
         IN_SERVICE("in_service"),
-        /** Takes no new requests, and completes those it has. */
+        /** Accepts no new requests and completes those in flight. */
         DRAINING("draining"),
-        /** Is no longer listed. */
+        /** No longer listed. */
         GONE("gone");
 
         private final String code;
@@ -63,7 +63,7 @@
             this.code = code;
         }
 
-        /** The word in a message; part of the protocol. */
+        /** Returns the name in messages; part of the protocol. */
         public String code() {
             return code;
         }
@@ -79,16 +79,16 @@
     }
 
     /**
-     * A worker.
+     * A worker in the endpoint list.
      *
-     * @param worker its name
-     * @param host it listens on
-     * @param port it listens on
-     * @param zone its zone
-     * @param kind of its machine
-     * @param cell workers of one group deduplicate each other's requests
-     * @param state its state
-     * @param startedMillis wall-clock time of its last start in milliseconds since 1970; 0 where that was long ago
+     * @param worker name of the worker
+     * @param host host that it listens on
+     * @param port port that it listens on
+     * @param zone zone of the worker
+     * @param kind kind of its machine
+     * @param cell group of workers that deduplicate each other's requests
+     * @param state state of the worker
+     * @param startedMillis wall-clock time of its last start in milliseconds since 1970; 0 if that was long ago
      */
     public record Entry(
             String worker,
@@ -104,7 +104,7 @@
     private static final String DEFAULT_HOST = "127.0.0.1";
     private static final int MAX_PORT = 65_535;
 
-    /** The message as JSON, without a line end. */
+    /** Returns the message as JSON, without a line terminator. */
     public String toJson() {
         StringWriter output = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(output)) {
@@ -137,17 +137,16 @@
     }
 
     /**
-     * Parses a message; unknown fields are ignored.
+     * Parses a message; ignores unknown fields.
      *
-     * @throws IOException with a message that says what is wrong, where the text is no message of the discovery
-     *     service
+     * @throws IOException if the text is not a valid message of the discovery service; its message has the reason
      */
     public static DiscoveryMessage parse(String text) throws IOException {
         Kind kind = null;
         long version = -1;
         List<Entry> entries = new ArrayList<>();
         try (JsonParser json = JSON.createParser(text)) {
-            expect(json.nextToken() == JsonToken.START_OBJECT, "a list line is a JSON object");
+            expect(json.nextToken() == JsonToken.START_OBJECT, "a discovery message must be a JSON object");
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String name = json.currentName();
                 json.nextToken();
@@ -158,18 +157,18 @@
                     default -> json.skipChildren();
                 }
             }
-            expect(json.currentToken() == JsonToken.END_OBJECT, "a list line is one JSON object");
+            expect(json.currentToken() == JsonToken.END_OBJECT, "a discovery message must be one complete JSON object");
         }
-        expect(kind != null && version >= 0, "a list line has a kind and a version");
+        expect(kind != null && version >= 0, "a discovery message must have a kind and a version");
         return new DiscoveryMessage(kind, version, List.copyOf(entries));
     }
 
     private static void parseEntries(JsonParser json, List<Entry> entries) throws IOException {
-        expect(json.currentToken() == JsonToken.START_ARRAY, "engines is a list");
+        expect(json.currentToken() == JsonToken.START_ARRAY, "engines must be a list");
         while (json.nextToken() == JsonToken.START_OBJECT) {
             entries.add(parseEntry(json));
         }
-        expect(json.currentToken() == JsonToken.END_ARRAY, "engines is a list of objects");
+        expect(json.currentToken() == JsonToken.END_ARRAY, "engines must be a list of objects");
     }
 
     private static Entry parseEntry(JsonParser json) throws IOException {
@@ -196,18 +195,18 @@
                 default -> json.skipChildren();
             }
         }
-        expect(worker != null && state != null, "an entry has an engine and a standing");
-        expect(port > 0 && port <= MAX_PORT, "an entry has a port from 1 to 65535");
+        expect(worker != null && state != null, "an entry must have an engine and a standing");
+        expect(port > 0 && port <= MAX_PORT, "an entry must have a port from 1 to 65535");
         return new Entry(worker, host, port, zone, kind, cell, state, startedMillis);
     }
 
-    private static IOException unknownWord(String word) {
-        return new IOException("unknown word " + word);
+    private static IOException unknownWord(String code) {
+        return new IOException("unknown word " + code);
     }
 
-    private static void expect(boolean holds, String otherwise) throws IOException {
-        if (!holds) {
-            throw new IOException(otherwise);
+    private static void expect(boolean condition, String message) throws IOException {
+        if (!condition) {
+            throw new IOException(message);
         }
     }
 }
--- a/kserve/src/main/java/pearladder/kserve/JsonBodies.java
+++ b/kserve/src/main/java/pearladder/kserve/JsonBodies.java
@@ -9,13 +9,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads and writes the JSON bodies of KServe v2 that hold no tensors. */
+/** Reads and writes those JSON bodies of KServe v2 that contain no tensors. */
 public final class JsonBodies {
     /**
-     * A line of a model repository's index.
+     * An entry of a model repository's index.
      *
-     * @param name of the model
-     * @param state READY, LOADING or UNAVAILABLE, as published
+     * @param name name of the model
+     * @param state READY, LOADING or UNAVAILABLE, as the protocol defines them
      */
     public record IndexedModel(String name, String state) {}
 
@@ -28,9 +28,9 @@
     private JsonBodies() {}
 
     /**
-     * The model that a worker's response names. Only the fields before the outputs are read.
+     * Returns the model that a worker's response names. Reads only the fields before the outputs.
      *
-     * @return null where it names none before its outputs, or is no JSON
+     * @return null if the body has no model name before its outputs, or is not JSON
      */
     public static String respondingModel(byte[] body) {
         try (JsonParser json = JSON.createParser(body)) {
@@ -81,12 +81,12 @@
         json.writeEndArray();
     }
 
-    /** The published form of every error: {"error": "..."}. */
+    /** Returns an error body as the protocol defines it: {"error": "..."}. */
     public static String error(String message) {
         return writeObject(json -> json.writeStringField("error", message));
     }
 
-    /** Server metadata. */
+    /** Returns a body with server metadata. */
     public static String server(String name, String version, List<String> extensions) {
         return writeObject(json -> {
             json.writeStringField("name", name);
@@ -95,7 +95,7 @@
         });
     }
 
-    /** Model metadata; the tensors are not known here, so their lists are empty. */
+    /** Returns a body with model metadata; its lists of tensors are empty because tensors are not known here. */
     public static String model(String name, List<String> versions) {
         return writeObject(json -> {
             json.writeStringField("name", name);
@@ -106,7 +106,7 @@
         });
     }
 
-    /** A load request for so many instances. */
+    /** Returns the body of a load request for a number of instances. */
     public static String load(int instances) {
         return writeObject(json -> {
             json.writeObjectFieldStart("parameters");
@@ -115,7 +115,7 @@
         });
     }
 
-    /** The instances that a load request asks for; 1 where it does not say. */
+    /** Returns the number of instances that a load request asks for; 1 if not given. */
     public static int requestedInstances(String body) throws IOException {
         if (body.isBlank()) {
             return 1;
@@ -130,7 +130,7 @@
         return 1;
     }
 
-    /** A repository index. */
+    /** Returns the body of a repository index. */
     public static String index(List<IndexedModel> models) {
         return write(json -> {
             json.writeStartArray();
@@ -144,12 +144,12 @@
         });
     }
 
-    /** Parses a repository index; a model with several instances has as many lines. */
+    /** Parses a repository index, which has one entry for each instance of a model. */
     public static List<IndexedModel> parseIndex(String body) throws IOException {
         List<IndexedModel> models = new ArrayList<>();
         try (JsonParser json = JSON.createParser(body)) {
             if (json.nextToken() != JsonToken.START_ARRAY) {
-                throw new IOException("an index is a list");
+                throw new IOException("a repository index must be a list");
             }
             while (json.nextToken() == JsonToken.START_OBJECT) {
                 models.add(parseIndexed(json));
@@ -171,7 +171,7 @@
             }
         }
         if (name == null) {
-            throw new IOException("an index line has a name");
+            throw new IOException("an entry of a repository index must have a name");
         }
         return new IndexedModel(name, state);
     }
--- a/kserve/src/main/java/pearladder/kserve/LoadReport.java
+++ b/kserve/src/main/java/pearladder/kserve/LoadReport.java
@@ -3,19 +3,19 @@
 import java.util.Locale;
 
 /**
- * A worker's report of its load, sent with its responses: "held=3;waiting=1;busy=0.50;loads=1;pinned=0.25". A part
- * that is missing or no number reads as NaN, since a report is advice and must not make a request fail.
+ * A worker's load report, sent with its responses: "held=3;waiting=1;busy=0.50;loads=1;pinned=0.25". A field that is
+ * missing or not a number is read as NaN, because an invalid report must not make a request fail.
  *
- * @param held requests in flight
- * @param waiting requests in its queue
- * @param busy share of its cores in use, 0 to 1
- * @param loads loads under way or waiting
- * @param pinned share of its memory that can't be freed, 0 to 1
+ * @param held number of requests in flight
+ * @param waiting number of queued requests
+ * @param busy share of the cores in use, 0 to 1
+ * @param loads number of loads in progress or queued
+ * @param pinned share of the memory that can't be freed, 0 to 1
  */
 public record LoadReport(double held, double waiting, double busy, double loads, double pinned) {
     private static final double MAX_VALUE = 1e9;
 
-    /** Parses a header's value; null where there is none. */
+    /** Parses a header's value; returns null if it is null or blank. */
     public static LoadReport parse(String text) {
         if (text == null || text.isBlank()) {
             return null;
@@ -39,7 +39,7 @@
                 case "loads" -> loads = value;
                 case "pinned" -> pinned = value;
                 default -> {
-                    // a part of a later version
+                    // a field of a later version
                 }
             }
         }
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The header's value; parts that are NaN are left out. */
+    /** Returns the header's value, without the fields that are NaN. */
     public String text() {
         StringBuilder text = new StringBuilder();
         append(text, "held", held);
--- a/kserve/src/main/java/pearladder/kserve/RequestOutcome.java
+++ b/kserve/src/main/java/pearladder/kserve/RequestOutcome.java
@@ -1,15 +1,15 @@
 package pearladder.kserve;
 
-/** How a request was answered, as the header {@link Headers#STATE} tells the client. */
+/** The outcome of a request, sent to the client in the header {@link Headers#OUTCOME}. */
 public enum RequestOutcome {
-    /** The worker's response is in the body. */
+    /** A worker responded; the body is its response. */
     SETTLED("settled", 200),
-    /** Not executed; a retry is harmless. */
+    /** The request was not executed; a retry is safe. */
     DISMISSED("dismissed", 503),
-    /** No worker has responded; whether the request took effect is unknown. */
+    /** No worker responded; whether the request took effect is unknown. */
     TERMINATED("terminated", 502);
 
-    /** The HTTP status that goes with it; a successful request may carry the worker's own 4xx instead. */
+    /** The HTTP status for this outcome; a response of {@link #SETTLED} may have the worker's 4xx status instead. */
     public final int status;
 
     private final String code;
@@ -19,12 +19,12 @@
         this.status = status;
     }
 
-    /** The header's value; part of the protocol. */
+    /** Returns the header's value; part of the protocol. */
     public String code() {
         return code;
     }
 
-    /** The outcome of a code, or null where there is none. */
+    /** Returns the outcome for a code, or null if there is none. */
     public static RequestOutcome of(String code) {
         for (RequestOutcome outcome : values()) {
             if (outcome.code.equals(code)) {
--- a/kserve/src/main/java/pearladder/kserve/Route.java
+++ b/kserve/src/main/java/pearladder/kserve/Route.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * What a request's path asks for by KServe v2.
+ * A parsed KServe v2 request path.
  *
- * @param kind of the request
- * @param model null where the path names none
- * @param version null where the path names none
+ * @param kind kind of the request
+ * @param model null if the path names none
+ * @param version null if the path names none
  */
 public record Route(Kind kind, String model, String version) {
-    /** The published requests, and {@link #UNKNOWN} for any other path. */
+    /** The requests of the protocol, and {@link #UNKNOWN} for any other path. */
     public enum Kind {
         SERVER,
         LIVE,
@@ -48,14 +48,14 @@
         };
     }
 
-    /** Whether a model's name matches a pattern: the name itself, or a prefix followed by "*". */
+    /** Returns whether a model's name matches a pattern: the name itself, or a prefix followed by "*". */
     public static boolean matches(String pattern, String name) {
         return pattern.endsWith("*")
                 ? name.startsWith(pattern.substring(0, pattern.length() - 1))
                 : name.equals(pattern);
     }
 
-    /** The function of a model's version; without a version (null or empty) it is the model itself. */
+    /** Returns the function of a model's version; without a version (null or empty), the model's name. */
     public static String function(String model, String version) {
         return version == null || version.isEmpty() ? model : model + "@" + version;
     }
@@ -109,7 +109,7 @@
         };
     }
 
-    /** Null where the encoding is malformed. */
+    /** Returns null if the encoding is malformed. */
     private static String decode(String part) {
         try {
             return URLDecoder.decode(part.replace("+", "%2B"), StandardCharsets.UTF_8);
--- a/kserve/src/test/java/pearladder/kserve/KserveTest.java
+++ b/kserve/src/test/java/pearladder/kserve/KserveTest.java
@@ -14,10 +14,10 @@
 import pearladder.kserve.DiscoveryMessage.WorkerState;
 import pearladder.kserve.Route.Kind;
 
-/** Paths, bodies, load reports and discovery messages as they go over the wire. */
+/** Tests the wire formats of paths, bodies, load reports and discovery messages. */
 class KserveTest {
     @Test
-    void theRespondingModelIsReadFromTheStartOfTheBodyOnly() {
+    void theRespondingModelIsReadOnlyFromTheFieldsBeforeTheOutputs() {
         assertEquals(
                 "a",
                 JsonBodies.respondingModel(
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void onlyPublishedPathsAreRouted() {
+    void onlyPathsOfTheProtocolAreRouted() {
         assertEquals(new Route(Kind.SERVER, null, null), Route.of("/v2"));
         assertEquals(new Route(Kind.LIVE, null, null), Route.of("/v2/health/live"));
         assertEquals(new Route(Kind.READY, null, null), Route.of("/v2/health/ready"));
@@ -47,7 +47,7 @@
         assertEquals(new Route(Kind.INDEX, null, null), Route.of("/v2/repository/index"));
         assertEquals(new Route(Kind.LOAD, "m", null), Route.of("/v2/repository/models/m/load"));
         assertEquals(new Route(Kind.UNLOAD, "m", null), Route.of("/v2/repository/models/m/unload"));
-        for (String none : List.of(
+        for (String path : List.of(
                 "/",
                 "",
                 "/v1",
@@ -59,18 +59,18 @@
                 "/v2/models/%zz/infer",
                 "/v2/health",
                 "/v2/repository/models/m/drop")) {
-            assertEquals(Kind.UNKNOWN, Route.of(none).kind(), none);
+            assertEquals(Kind.UNKNOWN, Route.of(path).kind(), path);
         }
     }
 
     @Test
     void aLoadReportSurvivesARoundTripAndInvalidFieldsAreNaN() {
-        LoadReport whole = new LoadReport(3, 1, 0.5, 2, 0.25);
-        assertEquals(whole, LoadReport.parse(whole.text()));
+        LoadReport complete = new LoadReport(3, 1, 0.5, 2, 0.25);
+        assertEquals(complete, LoadReport.parse(complete.text()));
         assertNull(LoadReport.parse(" "));
-        LoadReport part = LoadReport.parse("waiting=1; loads=many;busy=-1;other=7;held");
-        assertEquals(1, part.waiting());
-        assertTrue(Double.isNaN(part.loads()) && Double.isNaN(part.busy()) && Double.isNaN(part.held()));
+        LoadReport partial = LoadReport.parse("waiting=1; loads=many;busy=-1;other=7;held");
+        assertEquals(1, partial.waiting());
+        assertTrue(Double.isNaN(partial.loads()) && Double.isNaN(partial.busy()) && Double.isNaN(partial.held()));
     }
 
     @Test
@@ -99,29 +99,29 @@
     }
 
     @Test
-    void anInvalidDiscoveryMessageIsRefusedWithAReason() {
-        for (String[] wrong : new String[][] {
-            {"[]", "a list line is a JSON object"},
+    void anInvalidDiscoveryMessageIsRejectedWithAReason() {
+        for (String[] textAndError : new String[][] {
+            {"[]", "a discovery message must be a JSON object"},
             {"{\"kind\":\"half\"}", "unknown word half"},
-            {"{\"kind\":\"whole\"}", "a list line has a kind and a version"},
+            {"{\"kind\":\"whole\"}", "a discovery message must have a kind and a version"},
             {
                 "{\"kind\":\"whole\",\"version\":1,\"engines\":[{\"engine\":\"a\"}]}",
-                "an entry has an engine and a standing"
+                "an entry must have an engine and a standing"
             },
             {
                 "{\"kind\":\"whole\",\"version\":1,\"engines\":[{\"engine\":\"a\",\"standing\":\"gone\"}]}",
-                "an entry has a port from 1 to 65535"
+                "an entry must have a port from 1 to 65535"
             }
         }) {
             assertEquals(
-                    wrong[1],
-                    assertThrows(IOException.class, () -> DiscoveryMessage.parse(wrong[0]))
+                    textAndError[1],
+                    assertThrows(IOException.class, () -> DiscoveryMessage.parse(textAndError[0]))
                             .getMessage());
         }
     }
 
     @Test
-    void smallBodiesSurviveARoundTrip() throws IOException {
+    void bodiesWithoutTensorsSurviveARoundTrip() throws IOException {
         assertEquals(3, JsonBodies.requestedInstances(JsonBodies.load(3)));
         assertEquals(1, JsonBodies.requestedInstances("{}"));
         assertEquals(1, JsonBodies.requestedInstances(""));
