--- a/eventlog/src/main/java/pearladder/eventlog/EventLog.java
+++ b/eventlog/src/main/java/pearladder/eventlog/EventLog.java
@@ -13,36 +13,39 @@
 import java.util.function.Consumer;
 
 /**
- * The only writer of an event log's directory. Entries are on disk when {@link #append} returns. Used by one
- * thread at a time.
+ * The only writer of an event log's directory. Entries are on disk when {@link #append} returns. Not thread-safe: must
+ * be used by one thread at a time.
  */
 public final class EventLog implements AutoCloseable {
     /**
-     * What a compaction did.
+     * The result of a compaction.
      *
-     * @param files that were rewritten
-     * @param before their size before, bytes
-     * @param after their size after, bytes
-     * @param details that were deleted
+     * @param files number of segments that were rewritten
+     * @param before their size before the compaction, in bytes
+     * @param after their size after the compaction, in bytes
+     * @param details number of detail entries that were deleted
      */
     public record Compacted(int files, long before, long after, long details) {}
 
     private static final String LOCK_FILE_NAME = "lock";
-    /** Files of a compaction that a crash has interrupted. */
+    /** Files of a compaction that was interrupted by a crash. */
     private static final String INCOMPLETE_PATTERN = "records-[0-9]{16}\\.(new|new-wal|new-shm|new-journal)";
 
     private static final String DAMAGED_SUFFIX = ".damaged";
-    /** The segment that is written, and the one before it, are always kept. */
+    /** The current segment and the one before it are never deleted. */
     private static final int MIN_SEGMENTS = 2;
 
     private final Path directory;
     private final RetentionSettings retention;
     private final FileChannel lock;
     private LogSegment newest;
-    /** When the newest segment's first entry was made, milliseconds since 1970; 0 where it is empty. */
-    private long newestBeganAt;
+    /**
+     * The start of the newest segment's age, in milliseconds since 1970: the time of its first entry, or of its last
+     * entry if it had entries when the log was opened; 0 if it is empty.
+     */
+    private long newestStartMillis;
 
-    private long next;
+    private long nextNumber;
     private boolean complete = true;
 
     private EventLog(Path directory, RetentionSettings retention, FileChannel lock) {
@@ -52,10 +55,10 @@
     }
 
     /**
-     * Opens the log of a directory; creates both where they are missing.
+     * Opens the log in a directory; creates both if they do not exist.
      *
-     * @param warnings gets a line for each file that can't be read any more and is renamed
-     * @throws IOException where another process has it open, it was written by a newer version, or the disk fails
+     * @param warnings receives a line for each file that is renamed because it can't be read
+     * @throws IOException if another process has the log open, it was written by a newer version, or the disk fails
      */
     public static EventLog open(Path directory, RetentionSettings retention, Consumer<String> warnings)
             throws IOException {
@@ -84,25 +87,25 @@
             }
         }
         if (lock == null) {
-            throw new IOException(directory + " is held by another process; give each router its own data folder");
+            throw new IOException(directory + " is locked by another process; give each router its own data folder");
         }
         return channel;
     }
 
-    /** Opens the newest segment that is readable. */
+    /** Opens the newest readable segment. */
     private void openNewest(Consumer<String> warnings) throws IOException {
         for (Path incomplete : EventLogReader.files(directory, INCOMPLETE_PATTERN)) {
             Files.deleteIfExists(incomplete);
         }
         List<Path> segments = EventLogReader.segments(directory);
-        next = 1;
+        nextNumber = 1;
         while (newest == null && !segments.isEmpty()) {
             Path last = segments.remove(segments.size() - 1);
-            next = Math.max(next, LogSegment.first(last));
+            nextNumber = Math.max(nextNumber, LogSegment.firstNumber(last));
             try {
-                newest = LogSegment.write(last);
-                next = Math.max(next, newest.next());
-                newestBeganAt = newest.until();
+                newest = LogSegment.openForWriting(last);
+                nextNumber = Math.max(nextNumber, newest.nextNumber());
+                newestStartMillis = newest.lastEntryMillis();
             } catch (UnsupportedFormatException newerVersion) {
                 throw newerVersion;
             } catch (IOException damage) {
@@ -110,73 +113,72 @@
             }
         }
         if (newest == null) {
-            newest = LogSegment.write(LogSegment.file(directory, next));
+            newest = LogSegment.openForWriting(LogSegment.fileFor(directory, nextNumber));
         }
     }
 
-    /** A log that is only written must not keep a router from starting: the damaged file is kept under another name. */
+    /** Renames a damaged segment: a router only writes its log, so damage must not prevent the router from starting. */
     private void renameDamaged(Path segment, IOException damage, Consumer<String> warnings) throws IOException {
         Path renamed = segment.resolveSibling(segment.getFileName() + DAMAGED_SUFFIX);
         Files.move(segment, renamed, StandardCopyOption.REPLACE_EXISTING);
         LogSegment.delete(segment);
-        next++;
+        nextNumber++;
         complete = false;
-        warnings.accept(
-                segment + " can't be read (" + damage.getMessage() + "); it is set aside as " + renamed.getFileName());
+        warnings.accept(segment + " can't be read (" + damage.getMessage() + "); renamed to " + renamed.getFileName());
     }
 
-    /** The number that the next entry gets. */
+    /** Returns the number of the next entry. */
     public long nextNumber() {
-        return next;
+        return nextNumber;
     }
 
-    /** Whether the newest segment was readable when the log was opened; otherwise the last entries are lost. */
+    /** Returns whether the newest segment was readable when the log was opened; otherwise the last entries are lost. */
     public boolean isComplete() {
         return complete;
     }
 
-    /** Appends entries, all or none; they are on disk when this returns. */
+    /** Appends entries atomically; they are on disk when this method returns. */
     public void append(List<LogEntry> entries) throws IOException {
         if (entries.isEmpty()) {
             return;
         }
         long now = entries.get(0).at();
-        if (newestBeganAt == 0) {
-            newestBeganAt = now;
+        if (newestStartMillis == 0) {
+            newestStartMillis = now;
         }
         if (isFull(now)) {
             LogSegment full = newest;
-            newest = LogSegment.write(LogSegment.file(directory, next));
-            newestBeganAt = now;
+            newest = LogSegment.openForWriting(LogSegment.fileFor(directory, nextNumber));
+            newestStartMillis = now;
             full.close();
         }
-        newest.append(next, entries);
-        next += entries.size();
+        newest.append(nextNumber, entries);
+        nextNumber += entries.size();
     }
 
     private boolean isFull(long now) {
-        return LogSegment.bytes(newest.file) > retention.segmentBytes()
-                || now - newestBeganAt > retention.segmentMillis();
+        return LogSegment.sizeBytes(newest.file) > retention.segmentBytes()
+                || now - newestStartMillis > retention.segmentMillis();
     }
 
     /**
-     * Deletes the oldest segments while they are too old or too large; never the one that is written, nor the one
-     * before it.
+     * Deletes the oldest segments while they exceed the maximum age or the log its maximum size; never deletes the
+     * current segment or the one before it.
      *
-     * <p>A segment's age is the sum of the steps from segment to segment after it, each of at most twice the age
-     * at which one follows another: a clock that jumps ahead by a year must not delete them all.
+     * <p>A segment's age is the sum of the intervals between the segments after it, each limited to twice the age
+     * at which a segment is rotated, so that a clock that jumps ahead by a year does not delete them all.
      *
-     * @return how many were deleted
+     * @return number of segments deleted
      */
     public int retain() throws IOException {
         List<Path> segments = EventLogReader.segments(directory);
         long[] ages = ages(segments);
-        long allBytes = segments.stream().mapToLong(LogSegment::bytes).sum();
+        long allBytes = segments.stream().mapToLong(LogSegment::sizeBytes).sum();
         int deleted = 0;
         while (deleted < segments.size() - MIN_SEGMENTS
                 && (allBytes > retention.maxBytes() || ages[deleted] > retention.maxAgeMillis())) {
             Path oldest = segments.get(deleted);
-            allBytes -= LogSegment.bytes(oldest);
+            allBytes -= LogSegment.sizeBytes(oldest);
             LogSegment.delete(oldest);
             deleted++;
         }
@@ -185,33 +187,33 @@
 
     private long[] ages(List<Path> segments) throws IOException {
         long[] ages = new long[segments.size()];
-        long maxStep = 2 * retention.segmentMillis();
-        long nextUntil = newest.until();
+        long maxIntervalMillis = 2 * retention.segmentMillis();
+        long newerLastEntryMillis = newest.lastEntryMillis();
         for (int i = segments.size() - 2; i >= 0; i--) {
-            long until = until(segments.get(i), nextUntil);
-            long step = Math.max(0, Math.min(nextUntil - until, maxStep));
-            ages[i] = ages[i + 1] + step;
-            nextUntil = until;
+            long lastEntryMillis = lastEntryMillis(segments.get(i), newerLastEntryMillis);
+            long intervalMillis = Math.max(0, Math.min(newerLastEntryMillis - lastEntryMillis, maxIntervalMillis));
+            ages[i] = ages[i + 1] + intervalMillis;
+            newerLastEntryMillis = lastEntryMillis;
         }
         return ages;
     }
 
-    private static long until(Path file, long otherwise) {
-        try (LogSegment segment = LogSegment.read(file)) {
-            return segment.until();
+    private static long lastEntryMillis(Path file, long defaultMillis) {
+        try (LogSegment segment = LogSegment.openForReading(file)) {
+            return segment.lastEntryMillis();
         } catch (IOException unreadable) {
-            return otherwise;
+            return defaultMillis;
         }
     }
 
     /**
-     * Rewrites full segments without old details. Each is written to a new file that then replaces it, so that a
-     * crash leaves the old one or the new one.
+     * Rewrites full segments without old detail entries. Each is written to a new file that then replaces it, so that
+     * a crash leaves either the old file or the new one.
      *
-     * @param maxFiles rewritten by this call
+     * @param maxFiles maximum number of segments rewritten by this call
      */
     public Compacted compact(int maxFiles) throws IOException {
-        long detailsBefore = newest.until() - retention.maxDetailAgeMillis();
+        long detailCutoffMillis = newest.lastEntryMillis() - retention.maxDetailAgeMillis();
         int files = 0;
         long bytesBefore = 0;
         long bytesAfter = 0;
@@ -220,30 +222,30 @@
             if (files >= maxFiles || segment.equals(newest.file)) {
                 break;
             }
-            long oldDetails = detailsOlderThan(segment, detailsBefore);
+            long oldDetails = detailsOlderThan(segment, detailCutoffMillis);
             if (oldDetails > 0) {
                 files++;
-                bytesBefore += LogSegment.bytes(segment);
-                rewrite(segment, detailsBefore);
-                bytesAfter += LogSegment.bytes(segment);
+                bytesBefore += LogSegment.sizeBytes(segment);
+                rewrite(segment, detailCutoffMillis);
+                bytesAfter += LogSegment.sizeBytes(segment);
                 details += oldDetails;
             }
         }
         return new Compacted(files, bytesBefore, bytesAfter, details);
     }
 
-    /** Counts details of a segment that ended before a time; 0 for one that ended later. */
-    private static long detailsOlderThan(Path file, long time) throws IOException {
+    /** Counts the detail entries of a segment whose last entry is older than a time; 0 if the last entry is newer. */
+    private static long detailsOlderThan(Path file, long cutoffMillis) throws IOException {
         long[] details = {0};
-        try (LogSegment segment = LogSegment.read(file)) {
-            if (segment.until() < time) {
-                segment.batches(batch -> details[0] += countDetails(batch));
+        try (LogSegment segment = LogSegment.openForReading(file)) {
+            if (segment.lastEntryMillis() < cutoffMillis) {
+                segment.forEachBatch(batch -> details[0] += countDetails(batch));
             }
         }
         return details[0];
     }
 
-    private static long countDetails(LogSegment.Stored batch) throws IOException {
+    private static long countDetails(LogSegment.StoredBatch batch) throws IOException {
         if (!batch.damage().isEmpty()) {
             return 0;
         }
@@ -252,33 +254,36 @@
                 .count();
     }
 
-    private static void rewrite(Path file, long detailsBefore) throws IOException {
+    private static void rewrite(Path file, long detailCutoffMillis) throws IOException {
         Path rewritten = file.resolveSibling(file.getFileName().toString().replace(".db", ".new"));
         LogSegment.delete(rewritten);
-        try (LogSegment source = LogSegment.read(file);
-                LogSegment target = LogSegment.write(rewritten)) {
+        try (LogSegment source = LogSegment.openForReading(file);
+                LogSegment target = LogSegment.openForWriting(rewritten)) {
             target.beginTransaction();
-            source.batches(batch -> copy(batch, target, detailsBefore));
+            source.forEachBatch(batch -> copy(batch, target, detailCutoffMillis));
             target.commitTransaction();
         }
-        // closing has applied the write-ahead log to the file, and synced it
+        // close() has checkpointed the write-ahead log to the file and synced it
         LogSegment.deleteWriteAheadLog(file);
         Files.move(rewritten, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Copies a batch without old details; a damaged one is copied as it is, as it may be readable one day. */
-    private static void copy(LogSegment.Stored batch, LogSegment target, long detailsBefore) throws IOException {
+    /** Copies a batch without old detail entries; copies a damaged batch unchanged, as it may be recoverable later. */
+    private static void copy(LogSegment.StoredBatch batch, LogSegment target, long detailCutoffMillis)
+            throws IOException {
         if (!batch.damage().isEmpty()) {
-            target.put(batch, detailsBefore);
+            target.put(batch, detailCutoffMillis);
             return;
         }
         List<LogBatch.Row> rows = new ArrayList<>(LogBatch.decode(batch.bytes()));
-        long until = rows.isEmpty()
-                ? detailsBefore
+        long lastEntryMillis = rows.isEmpty()
+                ? detailCutoffMillis
                 : rows.get(rows.size() - 1).entry().at();
-        rows.removeIf(row -> row.entry().type().isDetail() && row.entry().at() < detailsBefore);
+        rows.removeIf(row -> row.entry().type().isDetail() && row.entry().at() < detailCutoffMillis);
         byte[] bytes = LogBatch.encode(rows);
-        target.put(new LogSegment.Stored(batch.first(), batch.count(), LogBatch.sum(bytes), bytes), until);
+        target.put(
+                new LogSegment.StoredBatch(batch.first(), batch.count(), LogBatch.checksum(bytes), bytes),
+                lastEntryMillis);
     }
 
     @Override
@@ -289,7 +294,7 @@
         try {
             lock.close();
         } catch (IOException ignored) {
-            // the system releases the lock with the process
+            // the operating system releases the lock when the process ends
             return;
         }
     }
--- a/eventlog/src/main/java/pearladder/eventlog/EventLogCursor.java
+++ b/eventlog/src/main/java/pearladder/eventlog/EventLogCursor.java
@@ -6,24 +6,24 @@
 import java.util.Deque;
 
 /**
- * Reads the entries of a directory's log one by one, in the order in which they were written, a batch at a time.
- * Damaged batches are left out.
+ * Iterates over the entries of a directory's log in the order in which they were written; reads one batch at a time.
+ * Skips damaged batches.
  */
 public final class EventLogCursor implements AutoCloseable {
     private final Deque<Path> files;
     private final Deque<LogEntry> entries = new ArrayDeque<>();
-    /** The segment that is being read, or null between two of them. */
+    /** The segment that is being read, or null between two segments. */
     private LogSegment segment;
-    /** The number of the first entry of the last batch that was read. */
+    /** The number of the first entry in the last batch that was read. */
     private long lastBatch;
 
-    /** @throws IOException where there is no such directory */
+    /** @throws IOException if there is no such directory */
     public EventLogCursor(Path directory) throws IOException {
         new EventLogReader(directory);
         this.files = new ArrayDeque<>(EventLogReader.segments(directory));
     }
 
-    /** The next entry, or null once there is none. */
+    /** Returns the next entry, or null at the end of the log. */
     public LogEntry next() throws IOException {
         while (entries.isEmpty()) {
             if (segment != null) {
@@ -38,7 +38,7 @@
     }
 
     private void readBatch() throws IOException {
-        LogSegment.Stored batch = segment.after(lastBatch);
+        LogSegment.StoredBatch batch = segment.firstBatchAfter(lastBatch);
         if (batch == null) {
             segment.close();
             segment = null;
@@ -52,12 +52,12 @@
 
     private void open(Path file) throws IOException {
         try {
-            segment = LogSegment.read(file);
-            lastBatch = LogSegment.first(file) - 1;
+            segment = LogSegment.openForReading(file);
+            lastBatch = LogSegment.firstNumber(file) - 1;
         } catch (UnsupportedFormatException newerVersion) {
             throw newerVersion;
         } catch (IOException damaged) {
-            // its entries are lost; EventLogReader.verify reports it
+            // its entries are lost, which EventLogReader.verify reports
             segment = null;
         }
     }
--- a/eventlog/src/main/java/pearladder/eventlog/EventLogReader.java
+++ b/eventlog/src/main/java/pearladder/eventlog/EventLogReader.java
@@ -8,22 +8,22 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 
-/** Reads the event log of a directory, beside its writer or alone. */
+/** Reads the event log in a directory, also while it is being written. */
 public final class EventLogReader {
-    /** Gets entries in the order in which they were written. */
+    /** Receives entries in the order in which they were written. */
     public interface EntryConsumer {
-        /** @param number of the entry, from 1 */
+        /** @param number number of the entry, from 1 */
         void accept(long number, LogEntry entry) throws IOException;
     }
 
     /**
      * The result of a verification.
      *
-     * @param files that were checked
-     * @param batches in them
-     * @param entries in them
-     * @param bytes of them
-     * @param damage a line for each file or batch that is damaged, with what is lost
+     * @param files number of segments checked
+     * @param batches number of batches in them
+     * @param entries number of entries in them
+     * @param bytes their size in bytes
+     * @param damage a line for each damaged file or batch, with the entries that are lost
      */
     public record Verified(int files, long batches, long entries, long bytes, List<String> damage) {}
 
@@ -31,26 +31,26 @@
 
     private final Path directory;
 
-    /** @throws IOException where there is no such directory */
+    /** @throws IOException if there is no such directory */
     public EventLogReader(Path directory) throws IOException {
         if (!Files.isDirectory(directory)) {
             throw new IOException(
-                    directory + ": no folder of records is there; it is \"records\" in a router's data folder");
+                    directory + ": no such event log directory; the log is \"records\" in a router's data folder");
         }
         this.directory = directory;
     }
 
-    /** Whether a directory holds no log. */
+    /** Returns whether a directory contains no log. */
     public static boolean isEmpty(Path directory) throws IOException {
         return segments(directory).isEmpty();
     }
 
-    /** The segments' files, oldest first. */
+    /** Returns the segments' files, oldest first. */
     static List<Path> segments(Path directory) throws IOException {
         return files(directory, LogSegment.FILE_PATTERN);
     }
 
-    /** The files whose names match a pattern, sorted. */
+    /** Returns the files whose names match a pattern, sorted by name. */
     static List<Path> files(Path directory, String namePattern) throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
             return new ArrayList<>(
@@ -61,14 +61,14 @@
     }
 
     /**
-     * Reads every entry from a number on. Damaged batches and files are left out; {@link #verify} reports them.
+     * Reads all entries from a number on. Skips damaged batches and files, which {@link #verify} reports.
      *
-     * @throws IOException where a segment was written by a newer version, or the consumer fails
+     * @throws IOException if a segment was written by a newer version, or the consumer fails
      */
     public void read(long from, EntryConsumer consumer) throws IOException {
         List<Path> segments = segments(directory);
         for (int i = 0; i < segments.size(); i++) {
-            boolean endsBefore = i + 1 < segments.size() && LogSegment.first(segments.get(i + 1)) <= from;
+            boolean endsBefore = i + 1 < segments.size() && LogSegment.firstNumber(segments.get(i + 1)) <= from;
             if (!endsBefore) {
                 readSegment(segments.get(i), from, consumer);
             }
@@ -78,32 +78,32 @@
     private static void readSegment(Path file, long from, EntryConsumer consumer) throws IOException {
         LogSegment segment;
         try {
-            segment = LogSegment.read(file);
+            segment = LogSegment.openForReading(file);
         } catch (UnsupportedFormatException newerVersion) {
             throw newerVersion;
         } catch (IOException damaged) {
             return;
         }
         try (segment) {
-            segment.batches(from, batch -> readBatch(batch, from, consumer));
+            segment.forEachBatch(from, batch -> readBatch(batch, from, consumer));
         }
     }
 
-    private static void readBatch(LogSegment.Stored batch, long from, EntryConsumer consumer) throws IOException {
+    private static void readBatch(LogSegment.StoredBatch batch, long from, EntryConsumer consumer) throws IOException {
         boolean endsBefore = batch.first() + batch.count() <= from;
         if (endsBefore || !batch.damage().isEmpty()) {
             return;
         }
         for (LogBatch.Row row : LogBatch.decode(batch.bytes())) {
-            consumer.accept(batch.first() + row.place(), row.entry());
+            consumer.accept(batch.first() + row.index(), row.entry());
         }
     }
 
     /**
-     * Reads the entries of a period that match.
+     * Reads the entries of a period that match a predicate.
      *
-     * @param fromMillis wall clock, milliseconds since 1970
-     * @param toMillis the first moment after the period
+     * @param fromMillis start of the period by the wall clock, in milliseconds since 1970
+     * @param toMillis end of the period, exclusive
      */
     public void find(long fromMillis, long toMillis, Predicate<LogEntry> wanted, EntryConsumer consumer)
             throws IOException {
@@ -114,7 +114,7 @@
         });
     }
 
-    /** Checks every file, every batch and that the entries' numbers follow each other. */
+    /** Checks every file and batch, and that the entries' numbers are consecutive. */
     public Verified verify() throws IOException {
         LogVerification verification = new LogVerification();
         List<Path> segments = segments(directory);
--- a/eventlog/src/main/java/pearladder/eventlog/LogBatch.java
+++ b/eventlog/src/main/java/pearladder/eventlog/LogBatch.java
@@ -15,19 +15,19 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 
-/** Encodes a batch of entries: an array of CBOR arrays, deflated, as names repeat within a batch. */
+/** Encodes a batch of entries as a CBOR array of arrays, which is deflated because names repeat within a batch. */
 final class LogBatch {
     /**
      * An entry in a batch.
      *
-     * @param place in the batch when it was written; a compaction leaves it as it is
+     * @param index index in the batch when it was written; not changed by a compaction
      */
-    record Row(int place, LogEntry entry) {}
+    record Row(int index, LogEntry entry) {}
 
     private static final CBORFactory CBOR = new CBORFactory();
-    /** Guards against a damaged batch that inflates without end. */
+    /** Limits the memory that a damaged batch can take when it is inflated. */
     private static final int MAX_DECODED_BYTES = 64 << 20;
-    /** About what an entry has besides its longest texts. */
+    /** Approximate size of an entry without its request id and note. */
     private static final int BYTES_PER_ENTRY = 64;
 
     private LogBatch() {}
@@ -57,7 +57,7 @@
     private static void write(JsonGenerator cbor, Row row) throws IOException {
         LogEntry entry = row.entry();
         cbor.writeStartArray();
-        cbor.writeNumber(row.place());
+        cbor.writeNumber(row.index());
         cbor.writeNumber(entry.at());
         cbor.writeNumber(entry.type().number);
         cbor.writeString(entry.requestId());
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Entries of a type that this version does not know are left out: a later one may write them in the same format.
+     * Decodes a batch. Skips entries of unknown types, as a later version may write new types in the same format.
      */
     static List<Row> decode(byte[] bytes) throws IOException {
         List<Row> rows = new ArrayList<>();
@@ -79,7 +79,7 @@
             expect(cbor.nextToken() == JsonToken.START_ARRAY);
             long decodedBytes = 0;
             while (cbor.nextToken() == JsonToken.START_ARRAY) {
-                int place = cbor.nextIntValue(0);
+                int index = cbor.nextIntValue(0);
                 long at = cbor.nextLongValue(0);
                 LogEntryType type = LogEntryType.of(cbor.nextIntValue(0));
                 LogEntry entry = readEntry(cbor, at, type == null ? LogEntryType.DROPPED : type);
@@ -87,7 +87,7 @@
                 decodedBytes += entry.requestId().length() + entry.note().length() + BYTES_PER_ENTRY;
                 expect(decodedBytes < MAX_DECODED_BYTES);
                 if (type != null) {
-                    rows.add(new Row(place, entry));
+                    rows.add(new Row(index, entry));
                 }
             }
             expect(cbor.currentToken() == JsonToken.END_ARRAY);
@@ -95,7 +95,7 @@
         return rows;
     }
 
-    /** Reads what follows the type. */
+    /** Reads the fields after the type. */
     private static LogEntry readEntry(JsonParser cbor, long at, LogEntryType type) throws IOException {
         String requestId = readText(cbor);
         String function = readText(cbor);
@@ -113,14 +113,14 @@
         return text;
     }
 
-    private static void expect(boolean holds) throws IOException {
-        if (!holds) {
-            throw new IOException("rows of another form");
+    private static void expect(boolean condition) throws IOException {
+        if (!condition) {
+            throw new IOException("the batch does not have the expected structure");
         }
     }
 
-    /** CRC-32C of an encoded batch. */
-    static long sum(byte[] bytes) {
+    /** Returns the CRC-32C checksum of an encoded batch. */
+    static long checksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
         crc.update(bytes);
         return crc.getValue();
--- a/eventlog/src/main/java/pearladder/eventlog/LogEntry.java
+++ b/eventlog/src/main/java/pearladder/eventlog/LogEntry.java
@@ -1,17 +1,17 @@
 package pearladder.eventlog;
 
 /**
- * One thing that a router did or was told. Texts are empty and numbers 0 where they do not apply.
+ * An event of a router. Strings are empty and numbers 0 where they do not apply.
  *
- * @param at wall clock, milliseconds since 1970; it may step back, the order is that of writing
- * @param type what is recorded; says what note, amount and micros mean
- * @param requestId the request's id
- * @param function a model, and its version where it has one
- * @param tenant the tenant
- * @param worker the worker
- * @param note a word by the type
- * @param amount a number by the type
- * @param micros a duration by the type, microseconds
+ * @param at wall-clock time in milliseconds since 1970; may decrease, as entries are in the order of writing
+ * @param type type of the event; defines the meaning of note, amount and micros
+ * @param requestId id of the request
+ * @param function name of the model, with its version if it has one
+ * @param tenant name of the tenant
+ * @param worker name of the worker
+ * @param note a string whose meaning depends on the type
+ * @param amount a number whose meaning depends on the type
+ * @param micros a duration in microseconds whose meaning depends on the type
  */
 public record LogEntry(
         long at,
@@ -23,7 +23,7 @@
         String note,
         long amount,
         long micros) {
-    /** An entry that is not about a request. */
+    /** Creates an entry that does not belong to a request. */
     public static LogEntry of(
             long at,
             LogEntryType type,
--- a/eventlog/src/main/java/pearladder/eventlog/LogEntryType.java
+++ b/eventlog/src/main/java/pearladder/eventlog/LogEntryType.java
@@ -1,13 +1,13 @@
 package pearladder.eventlog;
 
 /**
- * What an entry records. The number is part of the log's format and never changes; the code is its word for people
- * and in exports. A router may leave out a detail while its disk is slow.
+ * The type of an entry. The number is part of the log's format and never changes; the code is the type's name in output
+ * and exports. A router may drop detail entries while its disk is slow.
  */
 public enum LogEntryType {
-    /** A router started; note: its name; amount: for how many milliseconds idle instances stay loaded. */
+    /** A router started; note: its name; amount: the idle timeout of instances in milliseconds. */
     STARTED(1, "started", false),
-    /** It stopped in order. */
+    /** A router shut down in an orderly way. */
     STOPPED(2, "stopped", false),
     /**
      * A request ended; note: "settled" (succeeded), "dismissed" (rejected), "terminated" (failed) or "left" (the client
@@ -20,24 +20,25 @@
      */
     LEG(4, "leg", true),
     /**
-     * For how long a worker executed a tenant's requests since the last such entry; amount: that; micros: the period.
+     * A worker executed a tenant's requests; amount: the time spent on them since the last such entry, in
+     * microseconds; micros: the period.
      */
     WORK(5, "work", false),
-    /** A load began; the tenant is whose request began it, empty for a load request; micros: duration of the load. */
+    /** A load started; tenant: whose request caused it, empty for a load request; micros: duration of the load. */
     LOADING(6, "loading", false),
-    /** It ended; note: empty, or why it failed. */
+    /** A load ended; note: empty, or the reason of its failure. */
     LOADED(7, "loaded", false),
-    /** So many instances are loaded, as the worker says; amount: instances. */
+    /** A worker reported its loaded instances; amount: number of instances. */
     COPIES(8, "copies", false),
-    /** A load request is about to be sent; amount: instances. */
+    /** A load request is about to be sent; amount: number of instances. */
     ORDERED(9, "ordered", false),
-    /** A worker's state was listed; note: the state; amount: its start, milliseconds since 1970, or 0. */
+    /** The endpoint list has a worker's state; note: the state; amount: its start in milliseconds since 1970, or 0. */
     ENGINE(10, "engine", false),
-    /** Something was done about a rollout; the note says what. */
+    /** A rollout changed; note: the change. */
     RELEASE(11, "release", false),
-    /** So many details were left out up to here; amount. */
+    /** Detail entries were dropped before this entry; amount: their number. */
     DROPPED(13, "dropped", false),
-    /** An instance of a function has so many megabytes; amount. */
+    /** The memory of an instance of a function; amount: megabytes. */
     MODEL(14, "model", false);
 
     final int number;
@@ -50,17 +51,17 @@
         this.detail = detail;
     }
 
-    /** The word for this type in exports and queries; stable across versions. */
+    /** Returns the name of this type in exports and queries; stable across versions. */
     public String code() {
         return code;
     }
 
-    /** Whether a router may leave it out while its disk is slow. */
+    /** Returns whether a router may drop entries of this type while its disk is slow. */
     public boolean isDetail() {
         return detail;
     }
 
-    /** The type of a number, or null where this version knows none. */
+    /** Returns the type with a number, or null if this version has none. */
     static LogEntryType of(int number) {
         for (LogEntryType type : values()) {
             if (type.number == number) {
--- a/eventlog/src/main/java/pearladder/eventlog/LogSegment.java
+++ b/eventlog/src/main/java/pearladder/eventlog/LogSegment.java
@@ -14,12 +14,12 @@
 import java.util.function.Consumer;
 import org.sqlite.JDBC;
 
-/** One file of an event log: an SQLite database of batches, by the number of their first entry. */
+/** One file of an event log: an SQLite database of batches, whose key is the number of their first entry. */
 final class LogSegment implements AutoCloseable {
-    /** The format that is written; this one and older ones are read. */
+    /** The format that is written; this format and older ones can be read. */
     static final int FORMAT = 1;
 
-    /** Of a segment's file name, which has the number of its first entry. */
+    /** Pattern of a segment's file name, which contains the number of its first entry. */
     static final String FILE_PATTERN = "records-[0-9]{16}\\.db";
 
     private static final String FILE_FORMAT = "records-%016d.db";
@@ -45,30 +45,30 @@
             "select first, count, sum, bytes from batch where first > ? order by first limit 1";
 
     /**
-     * A batch as it is in the file.
+     * A batch as it is stored in the file.
      *
-     * @param first the number of its first entry
-     * @param count of its entries when it was written
-     * @param sum the checksum that was written with it
-     * @param bytes its entries, encoded by {@link LogBatch}
+     * @param first number of its first entry
+     * @param count number of its entries when it was written
+     * @param checksum checksum that was written with it
+     * @param bytes its entries as encoded by {@link LogBatch}
      */
-    record Stored(long first, int count, long sum, byte[] bytes) {
-        /** What is wrong with it, or empty. */
+    record StoredBatch(long first, int count, long checksum, byte[] bytes) {
+        /** Returns a description of the damage, or an empty string. */
         String damage() {
-            if (LogBatch.sum(bytes) != sum) {
-                return "its checksum is another one";
+            if (LogBatch.checksum(bytes) != checksum) {
+                return "checksum mismatch";
             }
             try {
-                return LogBatch.decode(bytes).size() <= count ? "" : "it holds more entries than it says";
+                return LogBatch.decode(bytes).size() <= count ? "" : "more entries than its count";
             } catch (IOException unreadable) {
                 return unreadable.getMessage();
             }
         }
     }
 
-    /** Gets batches in their order. */
+    /** Receives batches in their order. */
     interface BatchConsumer {
-        void accept(Stored batch) throws IOException;
+        void accept(StoredBatch batch) throws IOException;
     }
 
     final Path file;
@@ -79,22 +79,22 @@
         this.connection = connection;
     }
 
-    /** The file of a segment by the number of its first entry. */
-    static Path file(Path directory, long first) {
+    /** Returns the file of a segment by the number of its first entry. */
+    static Path fileFor(Path directory, long first) {
         return directory.resolve(String.format(Locale.ROOT, FILE_FORMAT, first));
     }
 
-    /** The number of a segment's first entry by its file's name, or -1 for a file that is no segment. */
-    static long first(Path file) {
+    /** Returns the number of a segment's first entry from its file name, or -1 if the file is not a segment. */
+    static long firstNumber(Path file) {
         String name = file.getFileName().toString();
         return name.matches(FILE_PATTERN) ? Long.parseLong(name.substring(NUMBER_START, NUMBER_END)) : -1;
     }
 
-    /** Opens for writing, creates the file where it is missing; what was committed before a crash is there. */
-    static LogSegment write(Path file) throws IOException {
+    /** Opens or creates a segment for writing; recovers all batches that were committed before a crash. */
+    static LogSegment openForWriting(Path file) throws IOException {
         Properties options = new Properties();
-        // A commit is on disk when it returns. The write-ahead log is checkpointed now and then, each time with a
-        // sync.
+        // A batch is on disk when its commit returns. SQLite checkpoints the write-ahead log from time to time, each
+        // time with a sync.
         options.setProperty("journal_mode", "WAL");
         options.setProperty("synchronous", "FULL");
         LogSegment segment = new LogSegment(file, connect("jdbc:sqlite:" + file, options, file));
@@ -105,13 +105,13 @@
             segment.checkFormat();
         } catch (SQLException failure) {
             segment.close();
-            throw segment.failed(failure);
+            throw segment.ioException(failure);
         }
         return segment;
     }
 
-    /** Opens for reading, beside a writer or alone; the file system may be read-only. */
-    static LogSegment read(Path file) throws IOException {
+    /** Opens a segment for reading, also while it is being written; the file system may be read-only. */
+    static LogSegment openForReading(Path file) throws IOException {
         Properties readOnly = new Properties();
         readOnly.setProperty("open_mode", "1");
         LogSegment segment = new LogSegment(file, connect("jdbc:sqlite:" + file, readOnly, file));
@@ -128,7 +128,7 @@
             return immutable;
         } catch (SQLException failure) {
             immutable.close();
-            throw immutable.failed(failure);
+            throw immutable.ioException(failure);
         }
     }
 
@@ -137,15 +137,15 @@
         try {
             return JDBC.createConnection(url, options);
         } catch (SQLException failure) {
-            throw failed(file, failure);
+            throw ioException(file, failure);
         }
     }
 
-    private IOException failed(SQLException cause) {
-        return failed(file, cause);
+    private IOException ioException(SQLException cause) {
+        return ioException(file, cause);
     }
 
-    private static IOException failed(Path file, SQLException cause) {
+    private static IOException ioException(Path file, SQLException cause) {
         return new IOException(file + ": " + cause.getMessage(), cause);
     }
 
@@ -160,33 +160,33 @@
         }
     }
 
-    /** Adds entries as one batch, which is on disk when this returns. */
+    /** Appends entries as one batch, which is on disk when this method returns. */
     void append(long first, List<LogEntry> entries) throws IOException {
         byte[] bytes = LogBatch.encode(LogBatch.rows(entries));
         LogEntry last = entries.get(entries.size() - 1);
-        put(new Stored(first, entries.size(), LogBatch.sum(bytes), bytes), last.at());
+        put(new StoredBatch(first, entries.size(), LogBatch.checksum(bytes), bytes), last.at());
     }
 
-    /** @param until when the batch's last entry was made, milliseconds since 1970 */
-    void put(Stored batch, long until) throws IOException {
+    /** @param lastEntryMillis time of the batch's last entry, in milliseconds since 1970 */
+    void put(StoredBatch batch, long lastEntryMillis) throws IOException {
         try (PreparedStatement statement = connection.prepareStatement(INSERT_BATCH)) {
             statement.setLong(1, batch.first());
             statement.setInt(2, batch.count());
-            statement.setLong(3, until);
-            statement.setLong(4, batch.sum());
+            statement.setLong(3, lastEntryMillis);
+            statement.setLong(4, batch.checksum());
             statement.setBytes(5, batch.bytes());
             statement.executeUpdate();
         } catch (SQLException failure) {
-            throw failed(failure);
+            throw ioException(failure);
         }
     }
 
-    /** Begins a transaction for many batches, as for a copy of a segment. */
+    /** Begins a transaction for several batches, as when a segment is rewritten. */
     void beginTransaction() throws IOException {
         try {
             connection.setAutoCommit(false);
         } catch (SQLException failure) {
-            throw failed(failure);
+            throw ioException(failure);
         }
     }
 
@@ -195,17 +195,17 @@
             connection.commit();
             connection.setAutoCommit(true);
         } catch (SQLException failure) {
-            throw failed(failure);
+            throw ioException(failure);
         }
     }
 
-    /** The number that the next entry gets; the file's own first where it is empty. */
-    long next() throws IOException {
-        return selectNumber(SELECT_NEXT, first(file));
+    /** Returns the number of the next entry; the number in the file name if the segment is empty. */
+    long nextNumber() throws IOException {
+        return selectNumber(SELECT_NEXT, firstNumber(file));
     }
 
-    /** When its last entry was made, milliseconds since 1970; 0 where it is empty. */
-    long until() throws IOException {
+    /** Returns the time of the last entry, in milliseconds since 1970; 0 if the segment is empty. */
+    long lastEntryMillis() throws IOException {
         return selectNumber(SELECT_UNTIL, 0);
     }
 
@@ -214,46 +214,46 @@
                 ResultSet result = statement.executeQuery(query)) {
             return result.next() ? result.getLong(1) : defaultNumber;
         } catch (SQLException failure) {
-            throw failed(failure);
+            throw ioException(failure);
         }
     }
 
-    /** Every batch in its order. */
-    void batches(BatchConsumer consumer) throws IOException {
-        batches(0, consumer);
+    /** Reads all batches in their order. */
+    void forEachBatch(BatchConsumer consumer) throws IOException {
+        forEachBatch(0, consumer);
     }
 
-    /** The batches in their order, from the one that holds an entry's number on. */
-    void batches(long number, BatchConsumer consumer) throws IOException {
+    /** Reads batches in their order, starting with the one that contains an entry's number. */
+    void forEachBatch(long number, BatchConsumer consumer) throws IOException {
         try (PreparedStatement statement = connection.prepareStatement(SELECT_FROM)) {
             statement.setLong(1, number);
             try (ResultSet result = statement.executeQuery()) {
                 while (result.next()) {
-                    consumer.accept(stored(result));
+                    consumer.accept(readBatch(result));
                 }
             }
         } catch (SQLException failure) {
-            throw failed(failure);
+            throw ioException(failure);
         }
     }
 
-    /** The first batch that begins after a number, or null. */
-    Stored after(long number) throws IOException {
+    /** Returns the first batch that starts after a number, or null. */
+    StoredBatch firstBatchAfter(long number) throws IOException {
         try (PreparedStatement statement = connection.prepareStatement(SELECT_AFTER)) {
             statement.setLong(1, number);
             try (ResultSet result = statement.executeQuery()) {
-                return result.next() ? stored(result) : null;
+                return result.next() ? readBatch(result) : null;
             }
         } catch (SQLException failure) {
-            throw failed(failure);
+            throw ioException(failure);
         }
     }
 
-    private static Stored stored(ResultSet row) throws SQLException {
-        return new Stored(row.getLong(1), row.getInt(2), row.getLong(3), row.getBytes(4));
+    private static StoredBatch readBatch(ResultSet row) throws SQLException {
+        return new StoredBatch(row.getLong(1), row.getInt(2), row.getLong(3), row.getBytes(4));
     }
 
-    /** Reports damage that SQLite finds in the file's structure. */
+    /** Reports the damage that SQLite finds in the file's structure. */
     void checkStructure(Consumer<String> damage) {
         try (Statement statement = connection.createStatement();
                 ResultSet result = statement.executeQuery("pragma quick_check")) {
@@ -267,8 +267,8 @@
         }
     }
 
-    /** The size of a file with its write-ahead log. */
-    static long bytes(Path file) {
+    /** Returns the size of a file including its write-ahead log, in bytes. */
+    static long sizeBytes(Path file) {
         return size(file) + size(Path.of(file + WAL_SUFFIX));
     }
 
@@ -280,13 +280,13 @@
         }
     }
 
-    /** Deletes a file with its write-ahead log. */
+    /** Deletes a file and its write-ahead log. */
     static void delete(Path file) throws IOException {
         deleteWriteAheadLog(file);
         Files.deleteIfExists(file);
     }
 
-    /** Deletes what SQLite keeps beside a file. */
+    /** Deletes the write-ahead log and the shared memory file that SQLite stores next to a file. */
     static void deleteWriteAheadLog(Path file) throws IOException {
         Files.deleteIfExists(Path.of(file + WAL_SUFFIX));
         Files.deleteIfExists(Path.of(file + SHARED_MEMORY_SUFFIX));
@@ -297,7 +297,7 @@
         try {
             connection.close();
         } catch (SQLException ignored) {
-            // what was committed is on disk; the next opening applies the write-ahead log
+            // committed batches are on disk; the write-ahead log is applied when the file is opened again
             return;
         }
     }
--- a/eventlog/src/main/java/pearladder/eventlog/LogVerification.java
+++ b/eventlog/src/main/java/pearladder/eventlog/LogVerification.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checks the segments of a log one after the other, oldest first. */
+/** Checks the segments of a log in sequence, oldest first. */
 final class LogVerification {
     private static final long UNKNOWN = -1;
 
@@ -13,31 +13,31 @@
     private long batches;
     private long entries;
     private long bytes;
-    /** The number that the next entry should have; unknown at the start, and after a file that can't be read. */
+    /** The expected number of the next entry; unknown at the start and after a file that can't be read. */
     private long expected = UNKNOWN;
 
     /** Reports a file that was renamed because it could not be read. */
     void addRenamed(Path file) {
-        add(file, "set aside at a start, its entries are lost");
+        add(file, "renamed at a start because it could not be read; its entries are lost");
     }
 
     void check(Path file) {
-        bytes += LogSegment.bytes(file);
-        long first = LogSegment.first(file);
+        bytes += LogSegment.sizeBytes(file);
+        long first = LogSegment.firstNumber(file);
         if (expected >= 0 && first != expected) {
-            add(file, "begins at entry " + first + " where " + expected + " would follow");
+            add(file, "begins at entry " + first + " where entry " + expected + " was expected");
         }
         expected = first;
-        try (LogSegment segment = LogSegment.read(file)) {
-            segment.checkStructure(what -> add(file, what));
-            segment.batches(batch -> check(file, batch));
+        try (LogSegment segment = LogSegment.openForReading(file)) {
+            segment.checkStructure(problem -> add(file, problem));
+            segment.forEachBatch(batch -> check(file, batch));
         } catch (IOException unreadable) {
             add(file, unreadable.getMessage());
             expected = UNKNOWN;
         }
     }
 
-    private void check(Path file, LogSegment.Stored batch) {
+    private void check(Path file, LogSegment.StoredBatch batch) {
         batches++;
         entries += batch.count();
         if (batch.first() != expected) {
@@ -50,8 +50,8 @@
         }
     }
 
-    private void add(Path file, String what) {
-        damage.add(file.getFileName() + ": " + what);
+    private void add(Path file, String problem) {
+        damage.add(file.getFileName() + ": " + problem);
     }
 
     EventLogReader.Verified result(int files) {
--- a/eventlog/src/main/java/pearladder/eventlog/metering/Metering.java
+++ b/eventlog/src/main/java/pearladder/eventlog/metering/Metering.java
@@ -18,27 +18,27 @@
 
 /** Computes memory-seconds from the event logs of any number of routers, merged by time. */
 public final class Metering {
-    /** Shares are computed for each minute; milliseconds. */
+    /** Length of the intervals for which shares are computed, one minute. */
     public static final long INTERVAL_MILLIS = 60_000;
     /**
-     * Entries are accepted so much late, milliseconds: usage is logged after the fact, a load once it has ended,
-     * and the clocks of routers differ.
+     * Entries that are later than this are skipped. Entries can be late because usage is logged after the fact, a load
+     * is logged once it has ended, and the clocks of routers differ.
      */
-    private static final long MAX_LATENESS = 3 * INTERVAL_MILLIS;
-    /** For logs whose first entry does not tell the idle timeout. */
+    private static final long MAX_LATENESS_MILLIS = 3 * INTERVAL_MILLIS;
+    /** Used if no log's first entry has the idle timeout. */
     private static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 10_000;
-    /** The note of a worker that is no longer listed. */
+    /** Note of an entry about a worker that is no longer listed. */
     private static final String GONE = "GONE";
 
     private static final int MICROS_PER_MILLI = 1000;
 
-    /** One router's log, read up to its head. */
+    /** The log of one router, with its next unprocessed entry. */
     private static final class Source {
         final String router;
         final EventLogCursor cursor;
-        /** When each worker was started, as the log has it. */
+        /** Last known start of each worker, in milliseconds since 1970. */
         final Map<String, Long> workerStarts = new HashMap<>();
-        /** Null at the end. */
+        /** The next unprocessed entry; null at the end of the log. */
         LogEntry head;
 
         Source(String router, EventLogCursor cursor) throws IOException {
@@ -49,21 +49,21 @@
     }
 
     /**
-     * What was read.
+     * The result of reading event logs.
      *
-     * @param entries in all logs
-     * @param tooLate of them, which were left out
-     * @param idleTimeoutMillis for how long idle instances stay loaded
+     * @param entries number of entries in all logs
+     * @param tooLate number of entries that were skipped because they were too late
+     * @param idleTimeoutMillis time for which idle instances stay loaded
      */
     public record Read(long entries, long tooLate, long idleTimeoutMillis) {}
 
     private Metering() {}
 
     /**
-     * Reads all logs and computes every share.
+     * Reads all logs and computes all usage shares.
      *
-     * @param directories of logs, one a router
-     * @param consumer gets the shares by interval, in order of time
+     * @param directories directories of the logs, one for each router
+     * @param consumer receives the shares by interval, in order of time
      */
     public static Read read(List<Path> directories, Consumer<UsageShare> consumer) throws IOException {
         List<Source> sources = new ArrayList<>();
@@ -79,7 +79,7 @@
 
     private static Read merge(List<Source> sources, Consumer<UsageShare> consumer) throws IOException {
         long idleTimeout = idleTimeoutMillis(sources);
-        UsageAccounting accounting = new UsageAccounting(INTERVAL_MILLIS, idleTimeout, MAX_LATENESS);
+        UsageAccounting accounting = new UsageAccounting(INTERVAL_MILLIS, idleTimeout, MAX_LATENESS_MILLIS);
         PriorityQueue<Source> oldestFirst = new PriorityQueue<>(
                 Comparator.<Source>comparingLong(source -> source.head.at()).thenComparing(source -> source.router));
         sources.stream().filter(source -> source.head != null).forEach(oldestFirst::add);
@@ -103,7 +103,7 @@
         return new Read(entries, accounting.lateObservationCount(), idleTimeout);
     }
 
-    /** The longest of those that the logs begin with. */
+    /** Returns the longest idle timeout in the first entries of the logs. */
     private static long idleTimeoutMillis(List<Source> sources) {
         return sources.stream()
                 .filter(source -> source.head != null && source.head.type() == LogEntryType.STARTED)
@@ -112,7 +112,7 @@
                 .orElse(DEFAULT_IDLE_TIMEOUT_MILLIS);
     }
 
-    /** What an entry proves about instances, or null. */
+    /** Returns the observation of instances that an entry contains, or null. */
     private static InstanceObservation observation(Source source, LogEntry entry) {
         long at = entry.at();
         String router = source.router;
@@ -132,7 +132,7 @@
         };
     }
 
-    /** A worker that is no longer listed, or is listed with another start, has no instances from then on. */
+    /** Returns an observation if a worker lost its instances, as it is no longer listed or was restarted; else null. */
     private static InstanceObservation workerGone(Source source, LogEntry entry) {
         if (entry.note().equals(GONE)) {
             source.workerStarts.remove(entry.worker());
--- a/eventlog/src/main/java/pearladder/eventlog/metering/package-info.java
+++ b/eventlog/src/main/java/pearladder/eventlog/metering/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reads the event logs of several routers as observations of instances, and sums up the memory-seconds of tenants.
+ * Converts the event logs of several routers to observations of instances and computes the memory-seconds of tenants.
  */
 package pearladder.eventlog.metering;
--- a/eventlog/src/main/java/pearladder/eventlog/package-info.java
+++ b/eventlog/src/main/java/pearladder/eventlog/package-info.java
@@ -1,6 +1,6 @@
 /**
- * An append-only log of what a router did, in segments that are SQLite files. A row is a batch of entries with its
+ * An append-only log of a router's events in segments, which are SQLite files. A row is a batch of entries with its
  * own checksum. {@link pearladder.eventlog.EventLog} writes a log, {@link pearladder.eventlog.EventLogReader}
- * reads one.
+ * reads it.
  */
 package pearladder.eventlog;
--- a/eventlog/src/test/java/pearladder/eventlog/EarlierVersionLogTest.java
+++ b/eventlog/src/test/java/pearladder/eventlog/EarlierVersionLogTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A log that a router of version 0.2.0 wrote, and its entries as that version exported them, are read alike. */
+/** Tests that a log written by version 0.2.0 is read with the same entries that that version exported. */
 class EarlierVersionLogTest {
     private static final String FILE = "records-0000000000000001.db";
     private static final List<String> CODES = List.of(
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void everyEntryIsReadWithItsContents() throws IOException {
+    void entriesAreReadAsTheEarlierVersionExportedThem() throws IOException {
         List<String> lines = new ArrayList<>();
         new EventLogReader(directory).read(0, (number, entry) -> lines.add(line(number, entry)));
         assertEquals(124, lines.size());
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void theLogIsVerifiedWithoutDamage() throws IOException {
+    void verificationFindsNoDamage() throws IOException {
         EventLogReader.Verified verified = new EventLogReader(directory).verify();
         assertEquals(List.of(), verified.damage());
         assertEquals(124, verified.entries());
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void everyTypeHasTheCodeThatEarlierVersionsExported() {
+    void typesHaveTheCodesThatEarlierVersionsExported() {
         assertEquals(
                 CODES,
                 Arrays.stream(LogEntryType.values()).map(LogEntryType::code).toList());
--- a/eventlog/src/test/java/pearladder/eventlog/EventLogTest.java
+++ b/eventlog/src/test/java/pearladder/eventlog/EventLogTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.sqlite.JDBC;
 
-/** The event log on disk: durability, rotation, retention, compaction and damage. */
+/** Tests durability, rotation, retention, compaction and damage handling of the event log. */
 class EventLogTest {
     private static final RetentionSettings SMALL_SEGMENTS =
             new RetentionSettings(20_000, 1_000_000, 1L << 30, 1L << 40, 1000);
@@ -57,13 +57,13 @@
         return EventLog.open(directory, retention, text -> {});
     }
 
-    private static List<LogEntry> all(Path directory) throws IOException {
+    private static List<LogEntry> readAll(Path directory) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
         new EventLogReader(directory).read(0, (number, entry) -> entries.add(entry));
         return entries;
     }
 
-    /** Copies the files while they are open: what a kill at this moment would leave on disk. */
+    /** Copies the files while they are open, as a kill of the process at this time would leave them on disk. */
     private static void copy(Path from, Path to) throws IOException {
         Files.createDirectories(to);
         for (Path file : EventLogReader.files(from, "records-.*")) {
@@ -93,7 +93,7 @@
                 acknowledged = withBatch;
             }
         }
-        assertEquals(acknowledged, all(source));
+        assertEquals(acknowledged, readAll(source));
     }
 
     private static List<LogEntry> randomBatch(Random random, int round, int firstNumber) {
@@ -107,7 +107,7 @@
         return batch;
     }
 
-    /** A kill while a batch is being written leaves any part of what the batch added. */
+    /** Truncates the write-ahead log within the last batch, as a kill during the write may do. */
     private static void truncateWriteAheadLog(Path before, Path after, Random random) throws IOException {
         List<Path> writeAheadLogs = EventLogReader.files(after, "records-.*-wal");
         Path newest = writeAheadLogs.get(writeAheadLogs.size() - 1);
@@ -122,17 +122,17 @@
         }
     }
 
-    /** The log has the acknowledged entries, with or without the whole batch that was being written. */
+    /** Asserts that the log has the acknowledged entries, either with or without the complete batch being written. */
     private static void assertRecovered(
             String round, Path directory, List<LogEntry> acknowledged, List<LogEntry> withBatch) throws IOException {
         try (EventLog log = EventLog.open(directory, SMALL_SEGMENTS, text -> {})) {
-            List<LogEntry> found = all(directory);
+            List<LogEntry> found = readAll(directory);
             assertTrue(
                     found.equals(acknowledged) || found.equals(withBatch),
                     round + ": " + found.size() + " entries of " + acknowledged.size() + " acknowledged");
             assertEquals(found.size() + 1, log.nextNumber());
             log.append(List.of(ended(5000, 1)));
-            assertEquals(found.size() + 1, all(directory).size());
+            assertEquals(found.size() + 1, readAll(directory).size());
         }
         assertEquals(List.of(), new EventLogReader(directory).verify().damage());
     }
@@ -146,11 +146,11 @@
             }
             int files = EventLogReader.segments(directory).size();
             assertTrue(files > 10, files + " files");
-            assertEquals(40, all(directory).size());
+            assertEquals(40, readAll(directory).size());
             assertTrue(log.retain() > 0);
-            List<LogEntry> left = all(directory);
-            assertTrue(left.size() < 40 && !left.isEmpty());
-            assertEquals(39, left.get(left.size() - 1).amount());
+            List<LogEntry> remaining = readAll(directory);
+            assertTrue(remaining.size() < 40 && !remaining.isEmpty());
+            assertEquals(39, remaining.get(remaining.size() - 1).amount());
             assertEquals(List.of(), new EventLogReader(directory).verify().damage());
         }
     }
@@ -164,7 +164,7 @@
             log.append(List.of(ended(365L * 86_400_000, 8)));
             log.append(List.of(ended(365L * 86_400_000 + 1, 9)));
             assertEquals(0, log.retain());
-            assertEquals(10, all(directory).size());
+            assertEquals(10, readAll(directory).size());
         }
     }
 
@@ -175,23 +175,23 @@
             for (int i = 0; i < 10; i++) {
                 log.append(List.of(ended(i * 600L, i), attempt(i * 600L, i)));
             }
-            List<LogEntry> before = all(directory);
+            List<LogEntry> before = readAll(directory);
             Files.write(directory.resolve("records-0000000000000001.new"), new byte[100]);
-            EventLog.Compacted done = log.compact(100);
-            assertTrue(done.details() > 0);
-            List<LogEntry> after = all(directory);
+            EventLog.Compacted compacted = log.compact(100);
+            assertTrue(compacted.details() > 0);
+            List<LogEntry> after = readAll(directory);
             assertEquals(
                     before.stream().filter(entry -> !entry.type().isDetail()).toList(),
                     after.stream().filter(entry -> !entry.type().isDetail()).toList());
-            assertTrue(after.stream().anyMatch(entry -> entry.type().isDetail()), "young details stay");
-            assertEquals(20 - done.details(), after.size());
+            assertTrue(after.stream().anyMatch(entry -> entry.type().isDetail()), "recent detail entries are kept");
+            assertEquals(20 - compacted.details(), after.size());
             List<Long> numbers = new ArrayList<>();
             new EventLogReader(directory).read(0, (number, entry) -> {
                 numbers.add(number);
                 assertEquals(
                         number % 2 == 1 ? LogEntryType.ENDED : LogEntryType.LEG,
                         entry.type(),
-                        "a number outlives the compaction");
+                        "numbers are not changed by the compaction");
             });
             assertEquals(20, numbers.get(numbers.size() - 1));
             assertEquals(0, log.compact(100).files());
@@ -205,18 +205,18 @@
     }
 
     @Test
-    void aSecondWriterIsRefused() throws IOException {
+    void aSecondWriterIsRejected() throws IOException {
         try (EventLog log = open(SMALL_SEGMENTS)) {
             log.append(List.of(ended(1, 1)));
             assertTrue(assertThrows(IOException.class, () -> open(SMALL_SEGMENTS))
                     .getMessage()
-                    .contains("held by another process"));
+                    .contains("locked by another process"));
         }
         open(SMALL_SEGMENTS).close();
     }
 
     @Test
-    void aNewerFormatIsRefusedAndTheFileStays() throws Exception {
+    void aNewerFormatIsRejectedAndTheFileIsUnchanged() throws Exception {
         try (EventLog log = open(SMALL_SEGMENTS)) {
             log.append(List.of(ended(1, 1)));
         }
@@ -229,7 +229,7 @@
         assertTrue(assertThrows(IOException.class, () -> open(SMALL_SEGMENTS))
                 .getMessage()
                 .contains("format 2"));
-        assertTrue(assertThrows(IOException.class, () -> all(directory))
+        assertTrue(assertThrows(IOException.class, () -> readAll(directory))
                 .getMessage()
                 .contains("format 2"));
         assertEquals(bytes.length, Files.readAllBytes(file).length);
@@ -248,10 +248,10 @@
             statement.execute("update batch set bytes = zeroblob(length(bytes)) where first = 5");
             statement.execute("delete from batch where first = 7");
         }
-        assertEquals(6, all(directory).size());
+        assertEquals(6, readAll(directory).size());
         List<String> damage = new EventLogReader(directory).verify().damage();
         assertEquals(2, damage.size());
-        assertTrue(damage.get(0).contains("entries 5 to 6: its checksum is another one"), damage.get(0));
+        assertTrue(damage.get(0).contains("entries 5 to 6: checksum mismatch"), damage.get(0));
         assertTrue(damage.get(1).contains("entries 7 to 8 are missing"), damage.get(1));
     }
 
@@ -267,7 +267,7 @@
             log.append(List.of(ended(3, 3)));
         }
         assertEquals(1, warnings.size());
-        assertEquals(List.of(ended(3, 3)), all(directory));
-        assertTrue(new EventLogReader(directory).verify().damage().get(0).contains("set aside"));
+        assertEquals(List.of(ended(3, 3)), readAll(directory));
+        assertTrue(new EventLogReader(directory).verify().damage().get(0).contains("renamed at a start"));
     }
 }
--- a/eventlog/src/test/java/pearladder/eventlog/metering/MeteringTest.java
+++ b/eventlog/src/test/java/pearladder/eventlog/metering/MeteringTest.java
@@ -16,9 +16,9 @@
 import pearladder.eventlog.RetentionSettings;
 import pearladder.metering.UsageShare;
 
-/** Usage by tenant, computed from the event logs of several routers. */
+/** Tests the usage by tenant that is computed from the event logs of several routers. */
 class MeteringTest {
-    /** A whole minute of the wall clock. */
+    /** Start of an interval, in milliseconds since 1970. */
     private static final long NOON = 1_796_126_400_000L;
 
     @TempDir
@@ -51,32 +51,32 @@
     }
 
     /**
-     * By hand: 400 MB from the load's beginning at 5 s to ten seconds after the last request of either router at 50 s,
-     * so 55 s and 22,000 MB seconds. All in one minute: 3 s of work of tender and 1 s of filing, so three quarters and
-     * one.
+     * Expected values: 400 MB from the start of the load at 5 s to ten seconds after the last request of either router
+     * at 50 s, so 55 s and 22,000 MB seconds. All of it is in one interval, with 3 s of work of tender and 1 s of
+     * filing, so tender gets three quarters and filing one.
      */
     @Test
-    void aModelUsedByTwoTenantsThroughTwoRoutersIsSplitAsByHand() throws IOException {
-        Path one = router(
+    void theUsageOfAModelIsSplitBetweenTenantsOfTwoRouters() throws IOException {
+        Path firstRouter = router(
                 "r1",
                 entry(0, LogEntryType.MODEL, "m", "", "", "", 400),
                 LogEntry.of(NOON + 5_000, LogEntryType.LOADING, "m", "tender", "e1", "", 1, 15_000_000),
                 entry(20, LogEntryType.WORK, "m", "tender", "e1", "", 2_000_000),
                 entry(30, LogEntryType.WORK, "m", "tender", "e1", "", 500_000));
-        Path two = router(
+        Path secondRouter = router(
                 "r2",
                 entry(2, LogEntryType.MODEL, "m", "", "", "", 400),
                 entry(40, LogEntryType.WORK, "m", "tender", "e1", "", 500_000),
                 entry(50, LogEntryType.WORK, "m", "filing", "e1", "", 1_000_000));
-        Map<String, Long> sums = megabyteMillisByTenant(List.of(one, two));
+        Map<String, Long> sums = megabyteMillisByTenant(List.of(firstRouter, secondRouter));
         assertEquals(Map.of("filing", 5_500_000L, "tender", 16_500_000L), sums);
-        assertEquals(sums, megabyteMillisByTenant(List.of(two, one)), "in any order");
-        assertEquals(sums, megabyteMillisByTenant(List.of(one, two)), "and again");
+        assertEquals(sums, megabyteMillisByTenant(List.of(secondRouter, firstRouter)), "in another order");
+        assertEquals(sums, megabyteMillisByTenant(List.of(firstRouter, secondRouter)), "a second time");
     }
 
     @Test
-    void aRemovedWorkerAndARestartedOneEndTheirInstances() throws IOException {
-        Path one = router(
+    void instancesEndWhenTheirWorkerIsRemovedOrRestarted() throws IOException {
+        Path router = router(
                 "r1",
                 entry(0, LogEntryType.MODEL, "m", "", "", "", 100),
                 entry(1, LogEntryType.ENGINE, "", "", "e1", "IN_SERVICE", NOON - 1),
@@ -85,13 +85,13 @@
                 entry(2, LogEntryType.LOADING, "m", "a", "e2", "", 1),
                 entry(5, LogEntryType.ENGINE, "", "", "e1", "GONE", 0),
                 entry(7, LogEntryType.ENGINE, "", "", "e2", "IN_SERVICE", NOON + 6_000));
-        assertEquals(Map.of("a", 100L * 3_000 + 100L * 4_000), megabyteMillisByTenant(List.of(one)));
+        assertEquals(Map.of("a", 100L * 3_000 + 100L * 4_000), megabyteMillisByTenant(List.of(router)));
     }
 
-    /** The clock steps back an hour: nothing is lost or counted twice, and what came too late is reported. */
+    /** The clock is set back by an hour: no usage is lost or counted twice, and the late entry is reported. */
     @Test
-    void aClockThatStepsBackIsReported() throws IOException {
-        Path one = router(
+    void entriesAfterAClockStepBackAreReportedAsLate() throws IOException {
+        Path router = router(
                 "r1",
                 entry(0, LogEntryType.MODEL, "m", "", "", "", 100),
                 entry(600, LogEntryType.LOADING, "m", "a", "e1", "", 1),
@@ -99,7 +99,7 @@
                 entry(1800, LogEntryType.WORK, "m", "a", "e1", "", 9),
                 entry(-1800, LogEntryType.WORK, "m", "a", "e1", "", 9));
         List<UsageShare> shares = new ArrayList<>();
-        Metering.Read read = Metering.read(List.of(one), shares::add);
+        Metering.Read read = Metering.read(List.of(router), shares::add);
         assertEquals(1, read.tooLate());
         assertEquals(
                 100L * 15_000,
