--- a/simulator-adapter/src/main/java/pearladder/simulator/EventReader.java
+++ b/simulator-adapter/src/main/java/pearladder/simulator/EventReader.java
@@ -16,7 +16,7 @@
 import pearladder.settings.JsonRowReader;
 import pearladder.settings.LoadReport;
 
-/** Reads events from the simulator's messages; the values of a message are read in their order on the line. */
+/** Reads events from the simulator's messages; reads the values of a message in the order of the line. */
 final class EventReader {
     private static final Map<String, Outcome> OUTCOMES = Map.of(
             "success",
@@ -54,38 +54,41 @@
         InstanceStatus.LOAD_FAILED
     };
 
-    /** The detail of an ended attempt holds a status in its lowest digit to this base; a count is above it. */
-    private static final int DETAIL_STATUSES = 8;
+    /** The detail of an ended attempt is its count of concurrent requests times this, plus its instance status. */
+    private static final int DETAIL_STATUS_BASE = 8;
 
     private static final int MIN_ENDPOINT_VALUES = 6;
 
     private final Map<Long, List<Endpoint>> endpointTables = new HashMap<>();
 
-    /** Reads the event that a message holds; the row stands behind the router's number. */
+    /** Reads the event of a message; the row is positioned after the router's number. */
     Event read(String name, JsonRowReader row) {
         return switch (name) {
             case "DirectoryUpdate" -> endpointsUpdated(row);
             case "Demand" -> requestArrived(row);
             case "Streaming" -> new Event.StreamStarted(
-                    row.text("Txn"), (int) row.whole("SeqNo"), row.text("Worker"), new TimeSpan(row.whole("TookNs")));
+                    row.text("Txn"),
+                    (int) row.wholeNumber("SeqNo"),
+                    row.text("Worker"),
+                    new TimeSpan(row.wholeNumber("TookNs")));
             case "Settled" -> attemptEnded(row);
             case "ClientLeft" -> new Event.ClientDisconnected(row.text("Txn"));
             case "Due" -> new Event.TimerFired(row.text("Tag"));
             case "ProbeResult" -> healthCheckCompleted(row);
             case "BroughtUp" -> loadCompleted(row);
-            case "FromPeer" -> new Event.GossipReceived((int) row.whole("OriginPeer"), row.text("Contents"));
+            case "FromPeer" -> new Event.GossipReceived((int) row.wholeNumber("OriginPeer"), row.text("Contents"));
             default -> throw row.bad("message", "unknown event " + name);
         };
     }
 
     private Event endpointsUpdated(JsonRowReader row) {
         String mode = row.text("Mode");
-        row.wholeOrNull("Gen");
-        Long table = row.wholeOrNull("Table");
-        EndpointUpdateKind kind = constant(row, "Mode", UPDATE_KINDS, mode);
+        row.wholeNumberOrNull("Gen");
+        Long table = row.wholeNumberOrNull("Table");
+        EndpointUpdateKind kind = constantOf(row, "Mode", UPDATE_KINDS, mode);
         List<Endpoint> endpoints = kind == EndpointUpdateKind.FAILED ? List.of() : endpointTables.get(table);
         if (endpoints == null) {
-            throw row.bad("Table", "no such roster");
+            throw row.bad("Table", "no endpoint list with this number was received");
         }
         return new Event.EndpointsUpdated(kind, endpoints);
     }
@@ -93,27 +96,27 @@
     private static Event healthCheckCompleted(JsonRowReader row) {
         Outcome outcome = outcome(row);
         return new Event.HealthCheckCompleted(
-                row.text("Worker"), outcome, new TimeSpan(row.whole("TookNs")), report(row));
+                row.text("Worker"), outcome, new TimeSpan(row.wholeNumber("TookNs")), report(row));
     }
 
     private static Event loadCompleted(JsonRowReader row) {
         String worker = row.text("Worker");
-        Long instances = row.wholeOrNull("NInst");
+        Long instances = row.wholeNumberOrNull("NInst");
         String function = row.text("TargetFn");
         Outcome outcome = outcome(row);
         int loaded = instances == null ? 0 : instances.intValue();
-        return new Event.LoadCompleted(worker, function, outcome, loaded, new TimeSpan(row.whole("TookNs")));
+        return new Event.LoadCompleted(worker, function, outcome, loaded, new TimeSpan(row.wholeNumber("TookNs")));
     }
 
     private static Event requestArrived(JsonRowReader row) {
         String requestId = row.text("Txn");
-        Long concurrency = row.wholeOrNull("Width");
+        Long concurrency = row.wholeNumberOrNull("Width");
         Double loadMillis = row.numberOrNull("StartMs");
         boolean clientRetry = row.flag("Resent");
         String tenant = tenant(row);
-        TimeSpan timeLeft = new TimeSpan(row.whole("RemainingNs"));
+        TimeSpan timeLeft = new TimeSpan(row.wholeNumber("RemainingNs"));
         String requestClass = row.text("Priority");
-        Long workNanos = row.wholeOrNull("WorkHintNs");
+        Long workNanos = row.wholeNumberOrNull("WorkHintNs");
         Double memoryMb = row.numberOrNull("RamMb");
         String function = row.textOrNull("TargetFn");
         return new Event.RequestArrived(
@@ -130,7 +133,7 @@
                 row.flag("Write"));
     }
 
-    /** A text; where there are no tenants, null or 0. */
+    /** Reads the tenant's name; null if the message has null or 0, as it does without tenants. */
     private static String tenant(JsonRowReader row) {
         Object tenant = row.tree("Org");
         if (tenant == null || tenant instanceof Number number && number.longValue() == 0) {
@@ -139,22 +142,22 @@
         if (tenant instanceof String name) {
             return name;
         }
-        throw row.bad("Org", "a text was expected");
+        throw row.bad("Org", "a string was expected");
     }
 
     private static Event attemptEnded(JsonRowReader row) {
         String requestId = row.text("Txn");
         boolean requestCompleted = row.flag("Last");
-        Long detailOrNull = row.wholeOrNull("Detail");
+        Long detailOrNull = row.wholeNumberOrNull("Detail");
         int detail = detailOrNull == null ? 0 : detailOrNull.intValue();
         String worker = row.text("Worker");
         Outcome outcome = outcome(row);
-        TimeSpan elapsed = new TimeSpan(row.whole("TookNs"));
-        int attempt = (int) row.whole("SeqNo");
+        TimeSpan elapsed = new TimeSpan(row.wholeNumber("TookNs"));
+        int attempt = (int) row.wholeNumber("SeqNo");
         boolean counted = outcome == Outcome.SUCCESS || outcome == Outcome.FULL;
-        int status = detail % DETAIL_STATUSES;
+        int status = detail % DETAIL_STATUS_BASE;
         if (detail < 0 || status >= INSTANCE_STATUSES.length) {
-            throw row.bad("Detail", "unknown note " + detail);
+            throw row.bad("Detail", "invalid detail " + detail);
         }
         return new Event.AttemptEnded(
                 requestId,
@@ -164,12 +167,12 @@
                 elapsed,
                 requestCompleted,
                 INSTANCE_STATUSES[status],
-                counted ? detail / DETAIL_STATUSES : 0,
+                counted ? detail / DETAIL_STATUS_BASE : 0,
                 report(row));
     }
 
     private static Outcome outcome(JsonRowReader row) {
-        return constant(row, "Verdict", OUTCOMES, row.text("Verdict"));
+        return constantOf(row, "Verdict", OUTCOMES, row.text("Verdict"));
     }
 
     private static WorkerLoadReport report(JsonRowReader row) {
@@ -180,9 +183,9 @@
         return LoadReport.of(value -> load.at(value).number(Double.NaN));
     }
 
-    /** Reads an endpoint list and keeps it under its number, for the updates that refer to it. */
+    /** Reads an endpoint list and stores it by its number for the updates that refer to it. */
     void readEndpointTable(JsonRowReader row) {
-        long table = row.whole("Table");
+        long table = row.wholeNumber("Table");
         JsonNodeReader entries = new JsonNodeReader(row, "Entries", row.tree("Entries"));
         endpointTables.put(table, entries.each(EventReader::endpoint));
     }
@@ -190,7 +193,7 @@
     private static Endpoint endpoint(JsonNodeReader entry) {
         List<JsonNodeReader> values = entry.each(value -> value);
         if (values.size() < MIN_ENDPOINT_VALUES) {
-            throw entry.row().bad(entry.path(), "an entry has at least six values");
+            throw entry.row().bad(entry.path(), "an entry with at least six values was expected");
         }
         TimeSpan startedAt = values.size() > MIN_ENDPOINT_VALUES ? values.get(6).span() : TimeSpan.ZERO;
         return new Endpoint(
@@ -203,10 +206,10 @@
                 startedAt.nanos() == 0 ? null : new MonotonicTime(startedAt.nanos()));
     }
 
-    private static <T> T constant(JsonRowReader row, String field, Map<String, T> constants, String word) {
-        T constant = constants.get(word);
+    private static <T> T constantOf(JsonRowReader row, String field, Map<String, T> constantsByName, String name) {
+        T constant = constantsByName.get(name);
         if (constant == null) {
-            throw row.bad(field, "unknown word " + word);
+            throw row.bad(field, "unknown word " + name);
         }
         return constant;
     }
