--- a/kserve-router/src/main/java/pearladder/router/kserve/AdminClient.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/AdminClient.java
@@ -19,7 +19,7 @@
     private static final String HISTORY_PATH = "/releases/history";
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration READ_TIMEOUT = Duration.ofSeconds(5);
-    /** Longer than that of reading: a router responds once the targets are in its journal. */
+    /** Longer than {@link #READ_TIMEOUT}, since a router responds only once the targets are in its journal. */
     private static final Duration UPDATE_TIMEOUT = Duration.ofSeconds(10);
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -33,8 +33,8 @@
      * A router's response to new targets.
      *
      * @param received whether there was a response
-     * @param refusals for each target in turn why it was refused, empty where it was accepted; one for all where the
-     *     router refused the request as a whole
+     * @param refusals for each target, in their order, the reason why it was refused, or empty where it was accepted;
+     *     a single one where the router refused the request as a whole
      */
     record UpdateResponse(boolean received, List<String> refusals) {
         private static final UpdateResponse NONE = new UpdateResponse(false, List.of());
@@ -48,12 +48,12 @@
         }
     }
 
-    /** A router's current rollouts. */
+    /** Returns a router's current rollouts. */
     JsonNode rollouts(String address) throws IOException {
         return get(address, ROLLOUTS_PATH);
     }
 
-    /** The targets in a router's journal, oldest first. */
+    /** Returns the targets in a router's journal, oldest first. */
     JsonNode history(String address) throws IOException {
         return get(address, HISTORY_PATH);
     }
@@ -83,7 +83,7 @@
         List<String> refusals = new ArrayList<>();
         body.path("refused").forEach(refusal -> refusals.add(refusal.asText()));
         if (refusals.isEmpty()) {
-            refusals.add(body.path("error").asText("not an answer of a router"));
+            refusals.add(body.path("error").asText("not a response of a router"));
         }
         return new UpdateResponse(true, refusals);
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/AdminServer.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/AdminServer.java
@@ -19,8 +19,8 @@
 import pearladder.rollout.RolloutTarget;
 
 /**
- * The operators' HTTP server, on an address of its own: GET and POST /releases, GET /releases/history, and for
- * other routers GET /releases/newest.
+ * The HTTP server for operators, on its own address: GET and POST /releases, GET /releases/history, and for other
+ * routers GET /releases/newest.
  */
 final class AdminServer {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -43,7 +43,7 @@
                 .requestHandler(this::handle);
     }
 
-    /** Listens; the future brings the port. */
+    /** Starts listening; the future completes with the port. */
     Future<Integer> listen() {
         return server.listen().map(HttpServer::actualPort);
     }
@@ -70,7 +70,7 @@
         };
     }
 
-    /** The newest target of each model, or none where the other router's checksum is the same. */
+    /** Returns the newest target of each model, or none where the peer's checksum is the same. */
     private String newest(String checksum) {
         String ownChecksum = rolloutManager.checksum();
         ObjectNode response =
@@ -116,10 +116,10 @@
                             + "a step, an epoch and who orders it were expected"));
             return;
         }
-        rolloutManager.setTargets(targets, answers -> respond(request, answers));
+        rolloutManager.setTargets(targets, refusals -> respond(request, refusals));
     }
 
-    /** One target or a list of them; none where the body is too long. */
+    /** Parses one target or a list of targets; returns none where the body is too long. */
     private static List<RolloutTarget> parse(Buffer body) throws JsonProcessingException {
         if (body.length() > MAX_REQUEST_BYTES) {
             return List.of();
@@ -135,19 +135,19 @@
         }
     }
 
-    /** @param answers for each target in turn empty, or why it was refused */
-    private static void respond(HttpServerRequest request, List<String> answers) {
+    /** @param refusals for each target, in their order: empty, or the reason why it was refused */
+    private static void respond(HttpServerRequest request, List<String> refusals) {
         ObjectNode response = JSON.createObjectNode();
         ArrayNode refused = response.putArray("refused");
-        answers.forEach(refused::add);
-        answers.stream()
-                .filter(answer -> !answer.isEmpty())
+        refusals.forEach(refused::add);
+        refusals.stream()
+                .filter(refusal -> !refusal.isEmpty())
                 .findFirst()
                 .ifPresent(refusal -> response.put("error", refusal));
         respond(request, response.has("error") ? 409 : 200, response.toString());
     }
 
-    /** Whether a target that was received has all its parts. */
+    /** Returns whether a received target has all its parts. */
     static boolean isComplete(RolloutTarget target) {
         return target != null && target.mode() != null && isComplete(target.plan());
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/AsyncRolloutJournal.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/AsyncRolloutJournal.java
@@ -10,7 +10,7 @@
 import pearladder.rollout.RolloutProgress;
 import pearladder.rollout.RolloutTarget;
 
-/** A {@link RolloutJournal} that is written off the event loop, one write after the other. */
+/** Writes a {@link RolloutJournal} off the event loop, one write at a time. */
 final class AsyncRolloutJournal implements RolloutManager.Journal {
     private static final Logger LOG = LoggerFactory.getLogger("pearladder.releases");
 
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void write(List<RolloutTarget> targets, Consumer<String> failure) {
+    public void write(List<RolloutTarget> targets, Consumer<String> onWritten) {
         write(
                 () -> {
                     List<RolloutTarget> written = journal.targets();
@@ -45,24 +45,25 @@
                             .filter(target -> !written.contains(target))
                             .toList());
                 },
-                failure);
+                onWritten);
     }
 
     @Override
-    public void write(RolloutProgress progress, Consumer<String> failure) {
-        write(() -> journal.append(progress), failure);
+    public void write(RolloutProgress progress, Consumer<String> onWritten) {
+        write(() -> journal.append(progress), onWritten);
     }
 
-    private void write(WriteTask task, Consumer<String> failure) {
+    private void write(WriteTask task, Consumer<String> onWritten) {
         vertx.<Void>executeBlocking(() -> {
                     task.run();
                     return null;
                 })
                 .onComplete(
-                        written -> failure.accept(null), cause -> failure.accept(String.valueOf(cause.getMessage())));
+                        written -> onWritten.accept(null),
+                        cause -> onWritten.accept(String.valueOf(cause.getMessage())));
     }
 
-    /** Completed once every write that was begun up to now has ended. */
+    /** Returns a future that completes once every write that was begun before has ended. */
     Future<Void> flush() {
         return vertx.executeBlocking(() -> null);
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/AtomicFile.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/AtomicFile.java
@@ -8,11 +8,11 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** Replaces a file as a whole, so that a crash leaves the old content or the new one. */
+/** Replaces files atomically, so that a crash leaves either the old content or the new one. */
 final class AtomicFile {
     private AtomicFile() {}
 
-    /** Writes a temporary file beside it, with suffix ".new", syncs it and renames it. */
+    /** Writes a temporary file with the suffix ".new" in the same directory, syncs it and renames it. */
     static void write(Path file, byte[] content) throws IOException {
         Files.createDirectories(file.getParent());
         String temporaryName = file.getFileName().toString().replaceFirst("\\.[^.]*$", ".new");
--- a/kserve-router/src/main/java/pearladder/router/kserve/BackgroundWork.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/BackgroundWork.java
@@ -16,8 +16,8 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Runs background jobs when a {@link BackgroundScheduler} says so. Confined to the event loop; the jobs themselves
- * run off it.
+ * Runs background jobs as a {@link BackgroundScheduler} decides. Confined to the event loop; the jobs themselves run
+ * on other threads.
  */
 final class BackgroundWork {
     private static final Logger LOG = LoggerFactory.getLogger("pearladder.background");
@@ -26,7 +26,7 @@
      * A submitted job.
      *
      * @param task runs the job once
-     * @param completion completed when the job has succeeded or was given up
+     * @param completion completed when the job has succeeded or was dropped
      */
     private record Job(Supplier<Future<ResourceCost>> task, Promise<Void> completion) {}
 
@@ -48,10 +48,10 @@
      * Submits a job.
      *
      * @param jobClass one of {@link pearladder.background.JobClasses}
-     * @param cost that is expected
-     * @param startBy when it must have started, or null
-     * @param task runs it off the event loop and returns its actual cost
-     * @return completed once the job has succeeded; fails with the reason where it was given up
+     * @param cost the expected cost
+     * @param startBy the latest time at which the job may start, or null
+     * @param task runs the job off the event loop and returns its actual cost
+     * @return a future that completes once the job has succeeded, or fails with the reason if the job was dropped
      */
     Future<Void> submit(
             String jobClass,
@@ -66,12 +66,12 @@
         return completion.future();
     }
 
-    /** Reports how late the event loop is. */
+    /** Reports the event-loop lag to the scheduler. */
     void onEventLoopLag(TimeSpan lag) {
         handle(new JobEvent.LoopLagMeasured(lag));
     }
 
-    /** Starts no new jobs but those that a stop requires; completed once no job is left. */
+    /** Starts no more jobs but those that run at shutdown; the future completes once no job is left. */
     Future<Void> stop() {
         if (stopCompletion == null) {
             stopCompletion = Promise.promise();
@@ -96,10 +96,10 @@
     }
 
     private void execute(JobAction action) {
-        if (action instanceof JobAction.StartJob begin) {
-            begin(begin.id());
-        } else if (action instanceof JobAction.DropJob giveUp) {
-            giveUp(giveUp.id(), giveUp.reason());
+        if (action instanceof JobAction.StartJob start) {
+            start(start.id());
+        } else if (action instanceof JobAction.DropJob drop) {
+            drop(drop.id(), drop.reason());
         } else if (action instanceof JobAction.ScheduleTick wake) {
             timers.after(wake.delay(), () -> handle(new JobEvent.Tick()));
         } else if (action instanceof JobAction.Log log) {
@@ -107,21 +107,22 @@
         }
     }
 
-    private void giveUp(String id, String reason) {
+    private void drop(String id, String reason) {
         Job job = jobs.remove(id);
         if (job != null) {
-            LOG.atInfo().addKeyValue("work", id).addKeyValue("cause", reason).log("given up");
+            LOG.atInfo().addKeyValue("work", id).addKeyValue("cause", reason).log("background job dropped");
             job.completion().fail(reason);
         }
     }
 
-    private void begin(String id) {
+    private void start(String id) {
         Job job = jobs.get(id);
         run(job).onComplete(cost -> onSuccess(id, job, cost), failure -> onFailure(id, failure));
     }
 
     /**
-     * Guards against a job that throws where it should fail: it would count as running, and hold up a stop, for ever.
+     * Runs a job. An exception that the task throws fails the job; otherwise the job would count as running, and block
+     * a stop, forever.
      */
     private static Future<ResourceCost> run(Job job) {
         try {
@@ -133,7 +134,7 @@
 
     private void onSuccess(String id, Job job, ResourceCost cost) {
         jobs.remove(id);
-        // first the completion: it may submit the next job at once, and a stop must wait for that one too
+        // completed first, since this may submit the next job at once, and a stop must wait for that job too
         job.completion().complete();
         handle(new JobEvent.JobEnded(id, true, cost));
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/BodyReader.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/BodyReader.java
@@ -3,9 +3,9 @@
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.streams.ReadStream;
 
-/** Reads the body of an HTTP message into memory, up to a limit, and tells once how that ended. */
+/** Reads the body of an HTTP message into memory, up to a limit, and reports the result once. */
 final class BodyReader {
-    /** Told how the reading ended: one method is called, once, unless the reading was cancelled. */
+    /** Receives the result: one method is called, once, unless the reader is cancelled. */
     interface Listener {
         void onComplete(Buffer body);
 
@@ -22,7 +22,7 @@
     private final Buffer body = Buffer.buffer();
     private boolean ended;
 
-    /** Creates a reader; {@link #start} begins the reading. */
+    /** Creates a reader; {@link #start} starts it. */
     BodyReader(ReadStream<Buffer> stream, long maxBytes, Listener listener) {
         this.stream = stream;
         this.maxBytes = maxBytes;
@@ -35,7 +35,7 @@
         stream.endHandler(end -> onEnd());
     }
 
-    /** Ignores the rest of the body; the listener is not called any more. */
+    /** Ignores the rest of the body; the listener is not called anymore. */
     void cancel() {
         ended = true;
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/EndpointList.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/EndpointList.java
@@ -11,7 +11,7 @@
 import pearladder.routing.api.Event;
 import pearladder.routing.api.MonotonicTime;
 
-/** The workers as the discovery service lists them, and what each of its messages means for the routing policy. */
+/** The workers that the discovery service lists; converts its messages to events for the routing policy. */
 public final class EndpointList {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -25,10 +25,10 @@
     /**
      * Creates an empty list.
      *
-     * @param wallClockOffsetNanos wall clock less monotonic clock; fixed, so that a start time that is listed
-     *     twice is the same monotonic time
-     * @param onUpdated told of each entry that was received, new or changed
-     * @param onRemoved told of each worker that is no longer listed
+     * @param wallClockOffsetNanos wall clock minus monotonic clock; fixed, so that a start time that is listed twice
+     *     is converted to the same monotonic time
+     * @param onUpdated called with each entry that is received, new or changed
+     * @param onRemoved called with each worker that is no longer listed
      */
     public EndpointList(long wallClockOffsetNanos, Consumer<Entry> onUpdated, Consumer<String> onRemoved) {
         this.wallClockOffsetNanos = wallClockOffsetNanos;
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Starts from the endpoint list of an earlier run.
+     * Restores the endpoint list of the previous process.
      *
-     * @param cached null where there is none
+     * @param cached the cached list, or null where there is none
      * @return the endpoint list as the policy's first event
      */
     public Event.EndpointsUpdated restore(DiscoveryMessage cached) {
@@ -98,17 +98,17 @@
         return new MonotonicTime(entry.startedMillis() * NANOS_PER_MILLI - wallClockOffsetNanos);
     }
 
-    /** Whether a list was received, or restored with entries. */
+    /** Returns whether a list was received, or restored with entries. */
     public boolean isKnown() {
         return known;
     }
 
-    /** How many workers are listed. */
+    /** Returns the number of listed workers. */
     public int size() {
         return entries.size();
     }
 
-    /** The complete list as a message, to be cached. */
+    /** Returns the complete list as a message, to be cached. */
     public DiscoveryMessage snapshot() {
         return new DiscoveryMessage(DiscoveryMessage.Kind.WHOLE, version, List.copyOf(entries.values()));
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/EndpointListCache.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/EndpointListCache.java
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory;
 import pearladder.kserve.DiscoveryMessage;
 
-/** The last endpoint list on disk, from which a router starts while the discovery service is unavailable. */
+/** The cached endpoint list on disk, from which a router starts while the discovery service is unavailable. */
 final class EndpointListCache {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListCache.class);
     private static final String FILE_NAME = "last-list.json";
@@ -20,7 +20,7 @@
         this.file = directory.resolve(FILE_NAME);
     }
 
-    /** The endpoint list as it was last written, or null where there is none that can be read. */
+    /** Returns the endpoint list as it was last written, or null where there is no readable one. */
     DiscoveryMessage read() {
         try {
             return DiscoveryMessage.parse(Files.readString(file));
@@ -30,7 +30,7 @@
             LOG.atWarn()
                     .addKeyValue("file", file)
                     .addKeyValue("cause", unreadable.getMessage())
-                    .log("the last list can't be read; starting without one");
+                    .log("the endpoint list cache can't be read; starting without it");
             return null;
         }
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/EndpointWatch.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/EndpointWatch.java
@@ -16,8 +16,8 @@
 import pearladder.kserve.Headers;
 
 /**
- * The long-lived connection to the discovery service. A connection that fails, falls silent or brings an
- * unreadable message is closed and reported once; the routing policy decides when to connect again.
+ * The long-lived connection to the discovery service. A connection that fails, reaches the silence timeout or delivers
+ * a malformed message is closed and reported once; the routing policy decides when to reconnect.
  */
 final class EndpointWatch {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
@@ -25,12 +25,12 @@
     private static final int OK = 200;
     private static final long NO_TIMER = -1;
 
-    /** Told what the connection brings. */
+    /** Receives the messages of the discovery service and the end of the connection. */
     interface Listener {
         void onMessage(DiscoveryMessage message);
 
-        /** A message or a heartbeat came: everything that the service told before has been received. */
-        void onHeard();
+        /** Called after each message or heartbeat; everything that the service sent before it has been received. */
+        void onMessageOrHeartbeat();
 
         void onDisconnected();
     }
@@ -41,7 +41,7 @@
     private final Listener listener;
     private final HttpClient client;
     private HttpClientRequest request;
-    /** Counts the connections; callbacks of earlier ones are ignored. */
+    /** The number of the current connection; callbacks of earlier ones are ignored. */
     private int connectionNumber;
 
     private boolean watching;
@@ -59,7 +59,7 @@
                         service.silenceTimeout().toMillis()));
     }
 
-    /** Connects, and watches from the last version on; has no effect while it watches already. */
+    /** Connects and watches from the last received version on; has no effect while a watch is open. */
     void watch() {
         if (watching || closed) {
             return;
@@ -91,7 +91,7 @@
         lines.exceptionHandler(failure -> disconnect(connection, failure.getMessage()));
         response.handler(lines);
         response.exceptionHandler(failure -> disconnect(connection, failure.getMessage()));
-        response.endHandler(end -> disconnect(connection, "the service closed it"));
+        response.endHandler(end -> disconnect(connection, "the discovery service closed the connection"));
     }
 
     private void onLine(int connection, Buffer line) {
@@ -103,14 +103,14 @@
         try {
             message = DiscoveryMessage.parse(line.toString());
         } catch (IOException unreadable) {
-            disconnect(connection, "an unreadable line: " + unreadable.getMessage());
+            disconnect(connection, "malformed message: " + unreadable.getMessage());
             return;
         }
         if (message.kind() != DiscoveryMessage.Kind.BEAT) {
             version = message.version();
             listener.onMessage(message);
         }
-        listener.onHeard();
+        listener.onMessageOrHeartbeat();
     }
 
     private boolean isCurrent(int connection) {
@@ -120,7 +120,8 @@
     private void restartSilenceTimer(int connection) {
         vertx.cancelTimer(silenceTimer);
         long millis = Math.max(1, service.silenceTimeout().toMillis());
-        silenceTimer = vertx.setTimer(millis, timerId -> disconnect(connection, "silent"));
+        silenceTimer = vertx.setTimer(
+                millis, timerId -> disconnect(connection, "nothing received within the silence timeout"));
     }
 
     private void disconnect(int connection, String cause) {
@@ -133,7 +134,10 @@
             request.reset();
             request = null;
         }
-        LOG.atWarn().addKeyValue("cause", cause).addKeyValue("version", version).log("the list service is away");
+        LOG.atWarn()
+                .addKeyValue("cause", cause)
+                .addKeyValue("version", version)
+                .log("disconnected from the discovery service");
         listener.onDisconnected();
     }
 
--- a/kserve-router/src/main/java/pearladder/router/kserve/EventLogWriter.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/EventLogWriter.java
@@ -29,13 +29,13 @@
  */
 final class EventLogWriter {
     private static final Logger LOG = LoggerFactory.getLogger("pearladder.records");
-    /** An entry waits so long for others to be written with it. */
-    private static final TimeSpan GATHER_TIME = TimeSpan.millis(20);
-    /** A load request waits so long for its entry. */
+    /** Delay before an entry is written, during which further entries join its batch. */
+    private static final TimeSpan BATCH_DELAY = TimeSpan.millis(20);
+    /** Longest time that a load request waits for its entry to be written. */
     private static final TimeSpan MAX_LOAD_REQUEST_DELAY = TimeSpan.millis(50);
 
-    private static final int MAX_PENDING = 200_000;
-    private static final int MAX_BATCH = 5_000;
+    private static final int MAX_PENDING_ENTRIES = 200_000;
+    private static final int MAX_BATCH_ENTRIES = 5_000;
     private static final double BYTES_PER_ENTRY = 30;
     private static final TimeSpan DROP_REPORT_DELAY = TimeSpan.millis(1);
     /** The id of an entry that no load request waits for. */
@@ -46,9 +46,10 @@
     private final LongSupplier wallClock;
     private final EventLog log;
     private final WorkerExecutor executor;
-    private final WriteBuffer buffer = new WriteBuffer(GATHER_TIME, MAX_LOAD_REQUEST_DELAY, MAX_PENDING, MAX_BATCH);
+    private final WriteBuffer buffer =
+            new WriteBuffer(BATCH_DELAY, MAX_LOAD_REQUEST_DELAY, MAX_PENDING_ENTRIES, MAX_BATCH_ENTRIES);
     private final ArrayDeque<LogEntry> pending = new ArrayDeque<>();
-    /** What to tell the load requests that wait for their entries, by id. */
+    /** Callbacks of the load requests that wait for their entries, by id. */
     private final Map<String, Consumer<String>> waitingLoadRequests = new HashMap<>();
 
     private long loadRequestCount;
@@ -77,15 +78,15 @@
     /**
      * Appends the entry of a load request that waits for it.
      *
-     * @param answer called once: empty where the request may be sent, or says why it must not
+     * @param onDecision called once: with an empty text if the request may be sent, or else with the reason why not
      */
-    void append(LogEntry entry, Consumer<String> answer) {
+    void append(LogEntry entry, Consumer<String> onDecision) {
         String id = Long.toString(++loadRequestCount);
-        waitingLoadRequests.put(id, answer);
+        waitingLoadRequests.put(id, onDecision);
         handle(new WriteBufferEvent.EntryReceived(entry.type().isDetail(), id), entry);
     }
 
-    /** @param entry null unless the event is its arrival */
+    /** @param entry the entry of a {@link WriteBufferEvent.EntryReceived}; null for other events */
     private void handle(WriteBufferEvent event, LogEntry entry) {
         if (closed) {
             return;
@@ -105,12 +106,12 @@
             write(write.entries());
         } else if (action instanceof WriteBufferAction.ReportDropped dropped) {
             timers.after(DROP_REPORT_DELAY, () -> appendDropped(dropped.entries()));
-        } else if (action instanceof WriteBufferAction.SendLoadRequest go) {
-            waitingLoadRequests.remove(go.loadRequestId()).accept("");
+        } else if (action instanceof WriteBufferAction.SendLoadRequest send) {
+            waitingLoadRequests.remove(send.loadRequestId()).accept("");
         } else if (action instanceof WriteBufferAction.WithholdLoadRequest withhold) {
             waitingLoadRequests.remove(withhold.loadRequestId()).accept(withhold.reason());
-        } else if (action instanceof WriteBufferAction.ScheduleTick wake) {
-            timers.after(wake.delay(), () -> handle(new WriteBufferEvent.Tick(), null));
+        } else if (action instanceof WriteBufferAction.ScheduleTick tick) {
+            timers.after(tick.delay(), () -> handle(new WriteBufferEvent.Tick(), null));
         } else if (action instanceof WriteBufferAction.Log message) {
             LOG.info(message.text());
         }
@@ -146,17 +147,20 @@
         handle(new WriteBufferEvent.Written(new TimeSpan(System.nanoTime() - startedAt)), null);
     }
 
-    /** Entries that are not on disk yet. */
+    /** Returns the number of entries that are not on disk yet. */
     int pendingCount() {
         return buffer.size();
     }
 
-    /** Whether the last write failed. */
+    /** Returns whether the last write failed. */
     boolean isFailing() {
         return buffer.isFailing();
     }
 
-    /** Completed once every entry is on disk; not while the disk refuses them, so the caller sets a timeout. */
+    /**
+     * Writes all entries. The future completes once every entry is on disk; the caller sets a timeout, since writes
+     * may keep failing.
+     */
     Future<Void> flush() {
         flushCompletion = Promise.promise();
         handle(new WriteBufferEvent.ShutdownBegun(), null);
--- a/kserve-router/src/main/java/pearladder/router/kserve/EventRecorder.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/EventRecorder.java
@@ -31,7 +31,10 @@
 import pearladder.routing.api.Outcome;
 import pearladder.routing.api.TimeSpan;
 
-/** Records what this router does in its event log. Confined to the event loop; the log is written off it. */
+/**
+ * Records requests, attempts, loads and changes of workers in the router's event log. Confined to the event loop; the
+ * log is written on another thread.
+ */
 final class EventRecorder implements EventListener {
     private static final Logger LOG = LoggerFactory.getLogger("pearladder.records");
     private static final String DIRECTORY_NAME = "records";
@@ -39,12 +42,12 @@
     private static final TimeSpan RETENTION_INTERVAL = TimeSpan.seconds(600);
     private static final int FILES_PER_COMPACTION = 1;
     private static final int NANOS_PER_MICRO = 1000;
-    /** How a {@link LogEntryType#LOADED} entry says that the load failed. */
+    /** The note of a {@link LogEntryType#LOADED} entry whose load failed. */
     private static final String LOAD_FAILED = "failed";
-    /** How a {@link LogEntryType#LOADING} entry says that a load request began the load. */
+    /** The note of a {@link LogEntryType#LOADING} entry whose load was begun by a load request. */
     private static final String LOAD_REQUESTED = "ordered";
 
-    /** Whose requests were executed where. */
+    /** The function and tenant of executed requests, and the worker that executed them. */
     private record UsageKey(String worker, String function, String tenant) {}
 
     private static final class Usage {
@@ -59,17 +62,17 @@
     private final EventLog log;
     private final WorkerExecutor executor;
     private final EventLogWriter writer;
-    /** Since the last usage entries were written. */
+    /** Usage since the last usage entries were written. */
     private final Map<UsageKey, Usage> usages = new LinkedHashMap<>();
 
     private final Set<String> recordedFunctions = new HashSet<>();
-    /** When each listed worker was started, milliseconds since 1970. */
+    /** The start time of each listed worker, in milliseconds since 1970. */
     private final Map<String, Long> workerStarts = new HashMap<>();
 
     /**
      * Opens the event log.
      *
-     * @param wallClock milliseconds since 1970
+     * @param wallClock returns the current time in milliseconds since 1970
      * @throws IOException where the log's directory can't be opened
      */
     EventRecorder(
@@ -88,12 +91,12 @@
         return config.dataDirectory().resolve(DIRECTORY_NAME);
     }
 
-    /** The load requests of the last run that are younger than a window; called before {@link #start}. */
+    /** Returns the load requests of earlier processes within a window; must be called before {@link #start}. */
     LoadRequestHistory loadRequests(TimeSpan window) {
         return LoadRequestHistory.read(log, directory(config), window, wallClock.getAsLong());
     }
 
-    /** Records the start, and begins the periodic jobs. */
+    /** Records the start and schedules the periodic jobs. */
     void start() {
         long idleTimeoutMillis =
                 config.routingSettings().instances().idleTimeout().toMillis();
@@ -138,7 +141,7 @@
         return new ResourceCost(0, compacted.before() + compacted.after(), 0);
     }
 
-    // ---- what the router does
+    // ---- recorded events
 
     @Override
     public void onRequestEnded(ActiveRequest request, String ending, TimeSpan duration) {
@@ -196,7 +199,10 @@
         }
     }
 
-    /** Of a request that waited for a load, the time of its execution is unknown: it counts as use, for no time. */
+    /**
+     * Adds an attempt to the usage. The execution time of a request that waited for a load is unknown, so the request
+     * counts as a use of zero duration.
+     */
     private void addUsage(long now, ActiveAttempt attempt, Event.InstanceStatus status, TimeSpan duration) {
         boolean waitedForLoad = status == Event.InstanceStatus.LOAD_BEGUN || status == Event.InstanceStatus.LOAD_JOINED;
         ActiveRequest request = attempt.request;
@@ -220,10 +226,10 @@
     }
 
     @Override
-    public void beforeLoadRequest(String worker, String function, int instances, Consumer<String> answer) {
+    public void beforeLoadRequest(String worker, String function, int instances, Consumer<String> onDecision) {
         long now = wallClock.getAsLong();
         appendFunction(now, function);
-        writer.append(LogEntry.of(now, LogEntryType.ORDERED, function, "", worker, "", instances, 0), answer);
+        writer.append(LogEntry.of(now, LogEntryType.ORDERED, function, "", worker, "", instances, 0), onDecision);
     }
 
     @Override
@@ -245,7 +251,7 @@
                 now, LogEntryType.COPIES, function, "", worker, outcome.name(), instances, micros(duration)));
     }
 
-    /** The discovery service has sent a message. */
+    /** Records the changes that a message of the discovery service contains. */
     void onDiscoveryMessage(DiscoveryMessage message) {
         long now = wallClock.getAsLong();
         boolean complete = message.kind() == DiscoveryMessage.Kind.WHOLE;
@@ -262,7 +268,7 @@
         }
     }
 
-    /** Whether the worker is new, was restarted or is gone. */
+    /** Updates the start time of a worker, and returns whether the worker is new, was restarted or is gone. */
     private boolean updateWorkerStart(DiscoveryMessage.Entry entry) {
         if (entry.state() == DiscoveryMessage.WorkerState.GONE) {
             return workerStarts.remove(entry.worker()) != null;
@@ -272,11 +278,11 @@
     }
 
     private void appendWorker(long now, String worker, DiscoveryMessage.WorkerState state, long startedMillis) {
-        writer.append(LogEntry.of(now, LogEntryType.ENGINE, "", "", worker, note(state), startedMillis, 0));
+        writer.append(LogEntry.of(now, LogEntryType.ENGINE, "", "", worker, noteOf(state), startedMillis, 0));
     }
 
-    /** The log's words for the states of workers; part of its format. */
-    private static String note(DiscoveryMessage.WorkerState state) {
+    /** Returns the note for a worker's state; the notes are part of the log's format. */
+    private static String noteOf(DiscoveryMessage.WorkerState state) {
         return switch (state) {
             case IN_SERVICE -> "IN_SERVICE";
             case DRAINING -> "DRAINING";
@@ -284,7 +290,7 @@
         };
     }
 
-    /** Records a function's memory, once. */
+    /** Records the memory of a function's instance, once per function. */
     private void appendFunction(long now, String function) {
         if (!recordedFunctions.add(function)) {
             return;
@@ -300,19 +306,19 @@
         return span.nanos() / NANOS_PER_MICRO;
     }
 
-    /** Entries that are not on disk yet. */
+    /** Returns the number of entries that are not on disk yet. */
     int pendingCount() {
         return writer.pendingCount();
     }
 
-    /** Whether the last write failed. */
+    /** Returns whether the last write failed. */
     boolean isFailing() {
         return writer.isFailing();
     }
 
     /**
-     * Records the stop; completed once every entry is on disk. The caller sets a timeout, as the disk may refuse
-     * them.
+     * Records the stop. The future completes once every entry is on disk; the caller sets a timeout, since writes may
+     * keep failing.
      */
     Future<Void> flush() {
         appendUsage();
--- a/kserve-router/src/main/java/pearladder/router/kserve/HttpExchange.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/HttpExchange.java
@@ -13,9 +13,9 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * One HTTP request to a worker and its response. It ends once: by its response, a failure, its timeout or because
- * it was cancelled. Until a connection is there nothing was sent, and the outcome says so; from then on a failure
- * may have been executed.
+ * One HTTP request to a worker and its response. The exchange ends once: by its response, a failure, its timeout or a
+ * cancellation. Before a connection is available nothing was sent, and the outcome says so; after that, a request that
+ * fails may have been executed.
  */
 final class HttpExchange implements WorkerClient.PendingSend {
     private final Vertx vertx;
@@ -23,12 +23,12 @@
     private final long maxResponseBytes;
     private final WorkerClient.AttemptListener listener;
     private final long timeoutTimer;
-    /** Null until a connection is there. */
+    /** Null until a connection is available. */
     private HttpClientRequest request;
 
     private boolean ended;
 
-    /** Creates an exchange whose timeout runs from now on; {@link #send} begins it. */
+    /** Creates an exchange and starts its timeout; {@link #send} sends the request. */
     HttpExchange(
             Vertx vertx,
             WorkerConnectionPool pool,
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Sends the request once a connection is there.
+     * Sends the request once a connection is available.
      *
      * @param headers sets the headers of the request
-     * @param permission asked just before the request is written; where it says no, the exchange ends unsent
+     * @param permission evaluated just before the request is written; if it is false, the exchange ends unsent
      */
     void send(
             HttpMethod method,
@@ -102,7 +102,7 @@
         return request != null;
     }
 
-    /** The first end counts; later ones are ignored. */
+    /** Ends the exchange; further calls are ignored. */
     private void end(Outcome outcome, HttpWorkerResponse response) {
         if (ended) {
             return;
--- a/kserve-router/src/main/java/pearladder/router/kserve/HttpResponseHandler.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/HttpResponseHandler.java
@@ -11,7 +11,7 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * The body of an inference request, and the HTTP response to it; a client that has disconnected gets nothing more.
+ * The body of an inference request, and the HTTP response to it. Nothing is sent to a client that has disconnected.
  */
 final class HttpResponseHandler implements ResponseHandler {
     private static final List<String> FORWARDED_HEADERS =
@@ -31,25 +31,26 @@
         this.response = response;
     }
 
-    /** The path of the request at a worker; null before {@link #onAdmitted}. */
+    /** Returns the path of the request at a worker; null before {@link #onAdmitted}. */
     String workerPath() {
         return workerPath;
     }
 
-    /** Whether a response is to this request: one that succeeded and names another model is not. */
-    boolean isAnsweredBy(HttpWorkerResponse workerResponse) {
+    /** Returns whether a response belongs to this request; a successful one that names another model does not. */
+    boolean matches(HttpWorkerResponse workerResponse) {
         if (!workerResponse.isSuccessful()) {
             return true;
         }
-        String answeringModel = JsonBodies.respondingModel(workerResponse.body().getBytes());
-        return answeringModel == null || answeringModel.equals(model);
+        String respondingModel =
+                JsonBodies.respondingModel(workerResponse.body().getBytes());
+        return respondingModel == null || respondingModel.equals(model);
     }
 
     /**
-     * The request was admitted.
+     * Sets the path at a worker and the response headers of an admitted request.
      *
-     * @param requestId that workers see
-     * @param version that was chosen; empty for the model without a version
+     * @param requestId the request id that workers receive
+     * @param version the chosen version; empty for the model without a version
      */
     void onAdmitted(String requestId, String version) {
         workerPath = "/v2/models/" + model + (version.isEmpty() ? "" : "/versions/" + version) + "/infer";
--- a/kserve-router/src/main/java/pearladder/router/kserve/HttpWorkerClient.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/HttpWorkerClient.java
@@ -26,7 +26,7 @@
     private final WorkerRegistry registry;
     private final Runnable watchEndpoints;
 
-    /** @param watchEndpoints watches the endpoint list */
+    /** @param watchEndpoints opens the endpoint watch */
     HttpWorkerClient(
             Vertx vertx, String routerName, long maxResponseBytes, WorkerRegistry registry, Runnable watchEndpoints) {
         this.vertx = vertx;
@@ -65,11 +65,11 @@
         }
     }
 
-    /** Guards against a worker that responds for another model: its response is an error, and reaches no client. */
+    /** Wraps a listener so that a response for another model counts as an error and reaches no client. */
     private static AttemptListener checkingModel(HttpResponseHandler handler, AttemptListener listener) {
         return (outcome, workerResponse) -> {
             HttpWorkerResponse response = (HttpWorkerResponse) workerResponse;
-            if (response == null || handler.isAnsweredBy(response)) {
+            if (response == null || handler.matches(response)) {
                 listener.onEnded(outcome, response);
             } else {
                 listener.onEnded(Outcome.ERROR, response.withOutcome(Outcome.ERROR));
@@ -97,9 +97,9 @@
                 return;
             }
             HttpWorkerResponse response = (HttpWorkerResponse) workerResponse;
-            boolean full = response.status() == SERVICE_UNAVAILABLE;
-            int assumed = outcome == Outcome.SUCCESS ? instances : 0;
-            listener.onEnded(full ? Outcome.FULL : outcome, response.loadedInstances(assumed));
+            boolean serviceUnavailable = response.status() == SERVICE_UNAVAILABLE;
+            int defaultInstances = outcome == Outcome.SUCCESS ? instances : 0;
+            listener.onEnded(serviceUnavailable ? Outcome.FULL : outcome, response.loadedInstances(defaultInstances));
         });
     }
 
@@ -133,7 +133,7 @@
         request(worker, HttpMethod.GET, "/v2/health/ready", "", timeout, () -> true, listener);
     }
 
-    /** A request of the router's own; to a worker that is not listed it ends at once. */
+    /** Sends a request of the router itself; a request to a worker that is not listed fails at once. */
     private void request(
             String worker,
             HttpMethod method,
--- a/kserve-router/src/main/java/pearladder/router/kserve/HttpWorkerResponse.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/HttpWorkerResponse.java
@@ -8,33 +8,33 @@
 import pearladder.routing.api.Event;
 import pearladder.routing.api.Outcome;
 
-/** A worker's complete HTTP response: what it tells the routing policy, and what is passed on to the client. */
+/** A worker's complete HTTP response, which is reported to the routing policy and forwarded to the client. */
 record HttpWorkerResponse(Outcome outcome, int status, MultiMap headers, Buffer body) implements WorkerResponse {
     private static final String COUNT_PATTERN = "[0-9]{1,6}";
 
     /**
-     * Reads the outcome from status and headers. A status of 2xx, and one that finds fault with the request
-     * itself, answers the request. Only {@link Headers#NEVER_RAN} proves that a request was not executed; after
-     * any other failure it may have been.
+     * Derives the outcome from status and headers. A 2xx status is final, and so is one that reports an error in the
+     * request itself. Only {@link Headers#NOT_EXECUTED} proves that a request was not executed; after any other
+     * failure it may have been executed.
      */
     static HttpWorkerResponse of(int status, MultiMap headers, Buffer body) {
         return new HttpWorkerResponse(outcome(status, headers.get(Headers.NOT_EXECUTED)), status, headers, body);
     }
 
-    private static Outcome outcome(int status, String neverExecuted) {
-        if (isAnswer(status)) {
+    private static Outcome outcome(int status, String notExecuted) {
+        if (isFinal(status)) {
             return Outcome.SUCCESS;
         }
-        if ("full".equals(neverExecuted)) {
+        if ("full".equals(notExecuted)) {
             return Outcome.FULL;
         }
-        if ("absent".equals(neverExecuted)) {
+        if ("absent".equals(notExecuted)) {
             return Outcome.ABSENT;
         }
         return Outcome.ERROR;
     }
 
-    private static boolean isAnswer(int status) {
+    private static boolean isFinal(int status) {
         return switch (status) {
             case 400, 413, 415, 422 -> true;
             default -> isSuccessful(status);
@@ -45,7 +45,7 @@
         return status >= 200 && status < 300;
     }
 
-    /** Whether the status is 2xx. */
+    /** Returns whether the status is 2xx. */
     boolean isSuccessful() {
         return isSuccessful(status);
     }
@@ -74,7 +74,7 @@
         return count(Headers.CONCURRENT_REQUESTS, -1);
     }
 
-    /** Instances that are loaded, on the response to a load request; a default where the worker does not say. */
+    /** Returns the loaded instances that the response to a load request reports, or a default where it has none. */
     int loadedInstances(int defaultCount) {
         return count(Headers.INSTANCES, defaultCount);
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/InferenceRequest.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/InferenceRequest.java
@@ -8,16 +8,16 @@
 /**
  * An inference request as the server has parsed it.
  *
- * @param wish for a version; its request id is null where the client gave none
- * @param receivedAt when its head was received
- * @param timeLeft until its deadline
- * @param requestClass that it names, or its model's
- * @param modelSettings of its model
- * @param workEstimate the client's estimate, or null
+ * @param versionRequest determines the version; its request id is null where the client sent none
+ * @param receivedAt the time at which the head was received
+ * @param timeLeft the time left until the deadline
+ * @param requestClass the request class that the request names, or the default one
+ * @param modelSettings the settings of the model
+ * @param workEstimate the client's estimate of the work, or null
  * @param clientRetry whether the client says that this is a retry
  */
 record InferenceRequest(
-        RolloutManager.VersionRequest wish,
+        RolloutManager.VersionRequest versionRequest,
         MonotonicTime receivedAt,
         TimeSpan timeLeft,
         RoutingSettings.RequestClass requestClass,
@@ -25,23 +25,24 @@
         TimeSpan workEstimate,
         boolean clientRetry) {
     /**
-     * Chooses the version, and tells the response handler of it.
+     * Chooses the version and passes it to the response handler.
      *
-     * @param defaultId the request's id where the client gave none
+     * @param defaultId the request's id where the client sent none
      */
     RequestManager.ParsedRequest withVersion(
             String defaultId, RolloutManager rolloutManager, HttpResponseHandler responseHandler) {
-        RolloutManager.VersionRequest named = wish.requestId() == null ? named(defaultId) : wish;
-        RolloutManager.ChosenVersion chosen = rolloutManager.choose(named);
-        responseHandler.onAdmitted(named.requestId(), chosen.version());
+        RolloutManager.VersionRequest identified =
+                versionRequest.requestId() == null ? withRequestId(defaultId) : versionRequest;
+        RolloutManager.ChosenVersion chosen = rolloutManager.choose(identified);
+        responseHandler.onAdmitted(identified.requestId(), chosen.version());
         return new RequestManager.ParsedRequest(
-                named.requestId(),
+                identified.requestId(),
                 chosen.function(),
-                wish.idempotencyKey(),
+                versionRequest.idempotencyKey(),
                 receivedAt,
                 timeLeft,
                 requestClass,
-                wish.tenant(),
+                versionRequest.tenant(),
                 modelSettings.concurrency(),
                 modelSettings.memoryMb(),
                 modelSettings.typicalLoadTime(),
@@ -50,8 +51,13 @@
                 chosen.completionListener());
     }
 
-    private RolloutManager.VersionRequest named(String id) {
+    private RolloutManager.VersionRequest withRequestId(String id) {
         return new RolloutManager.VersionRequest(
-                id, wish.model(), wish.version(), wish.groupKey(), wish.tenant(), wish.idempotencyKey());
+                id,
+                versionRequest.model(),
+                versionRequest.version(),
+                versionRequest.groupKey(),
+                versionRequest.tenant(),
+                versionRequest.idempotencyKey());
     }
 }
--- a/kserve-router/src/main/java/pearladder/router/kserve/InferenceServer.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/InferenceServer.java
@@ -18,20 +18,20 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * The KServe v2 server: parses inference requests and passes them on, refuses what is none, and answers requests
+ * The KServe v2 server: parses inference requests and passes them on, refuses invalid requests, and answers requests
  * about the router itself.
  */
 final class InferenceServer {
-    /** Takes inference requests, and says whether it can. */
+    /** Handles inference requests, and reports whether it can. */
     interface RequestHandler {
-        /** Why no request is admitted now, or null. */
+        /** Returns the reason why no request is admitted now, or null where requests are admitted. */
         String rejectionReason();
 
         void admit(InferenceRequest request, HttpResponseHandler responseHandler);
 
         boolean isReady();
 
-        /** How late the event loop is. */
+        /** Returns the event-loop lag. */
         TimeSpan eventLoopLag();
     }
 
@@ -42,7 +42,7 @@
     private static final String JSON_TYPE = "application/json";
     private static final int MAX_HEADER_BYTES = 16 << 10;
     private static final int MAX_REQUEST_LINE_BYTES = 8 << 10;
-    /** For a refusal to reach a client that is still sending its body. */
+    /** Lets a refusal reach a client that is still sending its body, before the connection is closed. */
     private static final long CLOSE_DELAY_MILLIS = 50;
 
     private static final int OK = 200;
@@ -74,7 +74,7 @@
                 .requestHandler(this::handle);
     }
 
-    /** Listens; the future brings the port. */
+    /** Starts listening; the future completes with the port. */
     Future<Integer> listen() {
         return server.listen().map(HttpServer::actualPort);
     }
@@ -129,9 +129,9 @@
         }
     }
 
-    private void checkReady(String otherwise) throws RequestRefusedException {
+    private void checkReady(String reasonIfNotReady) throws RequestRefusedException {
         if (!requestHandler.isReady()) {
-            throw new RequestRefusedException(SERVICE_UNAVAILABLE, otherwise);
+            throw new RequestRefusedException(SERVICE_UNAVAILABLE, reasonIfNotReady);
         }
     }
 
@@ -160,8 +160,8 @@
     }
 
     /**
-     * The event-loop lag counts twice: the request waited unseen for that long when it came in, and so will its
-     * response when it goes out.
+     * Returns the time left to complete a request. The event-loop lag is subtracted twice: the request waited that
+     * long before it was read, and its response will wait that long before it is written.
      */
     private TimeSpan timeLeft(RequestHead head, MonotonicTime receivedAt) {
         return head.timeout()
@@ -173,7 +173,7 @@
     private static InferenceRequest inferenceRequest(
             HttpServerRequest request, RequestHead head, MonotonicTime receivedAt, TimeSpan timeLeft) {
         String clientRequestId = request.getHeader(Headers.REQUEST_ID);
-        RolloutManager.VersionRequest wish = new RolloutManager.VersionRequest(
+        RolloutManager.VersionRequest versionRequest = new RolloutManager.VersionRequest(
                 clientRequestId != null && RequestHead.isName(clientRequestId) ? clientRequestId : null,
                 head.route().model(),
                 head.route().version(),
@@ -181,7 +181,7 @@
                 head.tenant(),
                 head.idempotencyKey());
         return new InferenceRequest(
-                wish,
+                versionRequest,
                 receivedAt,
                 timeLeft,
                 head.requestClass(),
@@ -238,7 +238,7 @@
         }
     }
 
-    /** Where the body is still being sent, the connection is closed after the response. */
+    /** Refuses a request; if its body is still being received, the connection is closed after the response. */
     private void refuse(HttpServerRequest request, int status, String reason) {
         if (!request.isEnded()) {
             request.response().putHeader("connection", "close");
--- a/kserve-router/src/main/java/pearladder/router/kserve/PrometheusMetrics.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/PrometheusMetrics.java
@@ -46,7 +46,8 @@
     }
 
     /**
-     * The builder keeps its supplier; {@code registry.gauge} would hold it weakly and read NaN after a collection.
+     * Registers a gauge. The builder keeps its supplier; {@code registry.gauge} would hold it weakly and report NaN
+     * after a garbage collection.
      */
     private void gauge(String name, Supplier<Number> value) {
         Gauge.builder(name, value).register(registry);
@@ -95,7 +96,7 @@
         clientDisconnects.increment();
     }
 
-    /** A request was understood and not admitted. */
+    /** Counts a valid request that was not admitted. */
     void onNotAdmitted() {
         requestsNotAdmitted.increment();
     }
@@ -105,7 +106,7 @@
         loadRequests.increment();
     }
 
-    /** All metrics, as they are scraped. */
+    /** Returns all metrics in the text format of Prometheus. */
     String scrape() {
         return registry.scrape();
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/RequestHead.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RequestHead.java
@@ -9,13 +9,13 @@
 /**
  * The path and the headers of an inference request, checked against the router's configuration.
  *
- * @param route with model and version
- * @param modelSettings of its model
- * @param requestClass that it names, or its model's
- * @param tenant null where tenants are not distinguished
- * @param idempotencyKey or null
- * @param timeout how long the client waits
- * @param workEstimate the client's estimate, or null
+ * @param route the path, with model and version
+ * @param modelSettings the settings of the model
+ * @param requestClass the request class that the request names, or the default one
+ * @param tenant the tenant, or null where tenants are not distinguished
+ * @param idempotencyKey the idempotency key, or null
+ * @param timeout the time that the client waits
+ * @param workEstimate the client's estimate of the work, or null
  */
 record RequestHead(
         Route route,
@@ -25,7 +25,7 @@
         String idempotencyKey,
         TimeSpan timeout,
         TimeSpan workEstimate) {
-    /** Of models, versions and request ids. */
+    /** Pattern of model names, versions and request ids. */
     private static final String NAME_PATTERN = "[A-Za-z0-9._:-]{1,128}";
 
     private static final String MILLIS_PATTERN = "[0-9]{1,9}(\\.[0-9]{1,6})?";
@@ -35,7 +35,7 @@
     private static final int NOT_FOUND = 404;
     private static final int CONTENT_TOO_LARGE = 413;
 
-    /** Checks path and headers in the order of the parameters above, then the length of the body. */
+    /** Parses path and headers in the order of the record's components, then checks the length of the body. */
     static RequestHead parse(Route route, MultiMap headers, RouterConfig config) throws RequestRefusedException {
         RouterConfig.ModelSettings modelSettings = modelSettings(route.model(), config);
         checkVersion(route.version());
@@ -46,7 +46,7 @@
         checkIdempotencyKey(idempotencyKey, requestClass);
         TimeSpan timeout = millis(headers, Headers.TIMEOUT_MS, requestClass.deadline());
         if (timeout.nanos() <= 0) {
-            throw notMillis(Headers.TIMEOUT_MS);
+            throw invalidMillis(Headers.TIMEOUT_MS);
         }
         TimeSpan workEstimate = millis(headers, Headers.WORK_ESTIMATE_MS, TimeSpan.ZERO);
         checkLength(headers.get("content-length"), config.limits().maxRequestBytes());
@@ -60,37 +60,38 @@
                 workEstimate.nanos() == 0 ? null : workEstimate);
     }
 
-    /** The settings of a model. */
+    /** Returns the settings of a model. */
     static RouterConfig.ModelSettings modelSettings(String model, RouterConfig config) throws RequestRefusedException {
         RouterConfig.ModelSettings settings = isName(model) ? config.modelSettings(model) : null;
         if (settings == null) {
-            throw new RequestRefusedException(NOT_FOUND, "unknown model " + quoted(model));
+            throw new RequestRefusedException(NOT_FOUND, "unknown model " + quote(model));
         }
         return settings;
     }
 
     private static void checkVersion(String version) throws RequestRefusedException {
         if (version != null && !isName(version)) {
-            throw new RequestRefusedException(NOT_FOUND, "unknown version " + quoted(version));
+            throw new RequestRefusedException(NOT_FOUND, "unknown version " + quote(version));
         }
     }
 
     private static RoutingSettings.RequestClass requestClass(
-            String named, RouterConfig.ModelSettings modelSettings, RouterConfig config)
+            String requestClassName, RouterConfig.ModelSettings modelSettings, RouterConfig config)
             throws RequestRefusedException {
-        String name = named != null ? named : defaultRequestClass(modelSettings, config.routingSettings());
+        String name = requestClassName != null
+                ? requestClassName
+                : defaultRequestClass(modelSettings, config.routingSettings());
         if (name == null) {
             throw new RequestRefusedException(BAD_REQUEST, "the header " + Headers.REQUEST_CLASS + " is missing");
         }
         RoutingSettings.RequestClass requestClass = config.requestClass(name);
         if (requestClass == null) {
-            throw new RequestRefusedException(
-                    BAD_REQUEST, Headers.REQUEST_CLASS + ": unknown category " + quoted(name));
+            throw new RequestRefusedException(BAD_REQUEST, Headers.REQUEST_CLASS + ": unknown category " + quote(name));
         }
         return requestClass;
     }
 
-    /** The model's, or the only one that is configured; null where there is neither. */
+    /** Returns the model's request class, or the only configured one; null where there is neither. */
     private static String defaultRequestClass(RouterConfig.ModelSettings modelSettings, RoutingSettings settings) {
         if (modelSettings.requestClass() != null) {
             return modelSettings.requestClass();
@@ -100,18 +101,18 @@
                 : null;
     }
 
-    private static String tenant(String named, RoutingSettings settings) throws RequestRefusedException {
+    private static String tenant(String tenantName, RoutingSettings settings) throws RequestRefusedException {
         if (settings.tenants().isEmpty()) {
             return null;
         }
-        if (settings.tenants().stream().noneMatch(tenant -> tenant.name().equals(named))) {
+        if (settings.tenants().stream().noneMatch(tenant -> tenant.name().equals(tenantName))) {
             throw new RequestRefusedException(
                     BAD_REQUEST,
-                    named == null
+                    tenantName == null
                             ? "the header " + Headers.TENANT + " is missing"
-                            : Headers.TENANT + ": unknown account " + quoted(named));
+                            : Headers.TENANT + ": unknown account " + quote(tenantName));
         }
-        return named;
+        return tenantName;
     }
 
     private static void checkIdempotencyKey(String key, RoutingSettings.RequestClass requestClass)
@@ -131,18 +132,18 @@
             return defaultSpan;
         }
         if (!text.matches(MILLIS_PATTERN)) {
-            throw notMillis(header);
+            throw invalidMillis(header);
         }
         return TimeSpan.seconds(Double.parseDouble(text) / 1e3);
     }
 
-    private static RequestRefusedException notMillis(String header) {
+    private static RequestRefusedException invalidMillis(String header) {
         return new RequestRefusedException(BAD_REQUEST, header + ": a number of milliseconds was expected");
     }
 
     private static void checkLength(String contentLength, long maxBytes) throws RequestRefusedException {
-        boolean known = contentLength != null && contentLength.matches(LENGTH_PATTERN);
-        if (known && Long.parseLong(contentLength) > maxBytes) {
+        boolean lengthKnown = contentLength != null && contentLength.matches(LENGTH_PATTERN);
+        if (lengthKnown && Long.parseLong(contentLength) > maxBytes) {
             throw bodyTooLong(maxBytes);
         }
     }
@@ -151,13 +152,13 @@
         return new RequestRefusedException(CONTENT_TOO_LARGE, "a body has " + maxBytes + " bytes at the most");
     }
 
-    /** Whether a text may be the name of a model or a version, or a request's id. */
+    /** Returns whether a text is valid as a model name, a version or a request id. */
     static boolean isName(String text) {
         return text.matches(NAME_PATTERN);
     }
 
-    /** A client's own text, cut short and without special characters, for a message that goes back to it. */
-    private static String quoted(String text) {
+    /** Quotes a client's text for an error message, truncated and with special characters replaced. */
+    private static String quote(String text) {
         String plain = text.replaceAll("[^A-Za-z0-9._:@/-]", "?");
         boolean fits = plain.length() <= MAX_QUOTED_LENGTH;
         return "\"" + (fits ? plain : plain.substring(0, MAX_QUOTED_LENGTH) + "...") + "\"";
--- a/kserve-router/src/main/java/pearladder/router/kserve/RolloutClient.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RolloutClient.java
@@ -18,8 +18,7 @@
 
 /**
  * An operator's client for rollouts. To change one, it reads the targets of all routers, derives the target that
- * follows the newest, and sends that to all of them. An unavailable router is reported; the same command may be given
- * again.
+ * follows the newest, and sends that to all of them. An unavailable router is reported; the command may be repeated.
  */
 public final class RolloutClient {
     private static final long FIRST_EPOCH = 1;
@@ -33,8 +32,8 @@
      * The result of a command.
      *
      * @param acceptedCount targets that were accepted, each counted once for each router
-     * @param requestedCount targets that should have been accepted, counted alike
-     * @param lines for people: one for each target and router, and one for each model without a valid target
+     * @param requestedCount targets that should have been accepted, counted the same way
+     * @param lines human-readable lines: one for each target and router, and one for each model without a valid target
      */
     public record RolloutResult(int acceptedCount, int requestedCount, List<String> lines) {}
 
@@ -47,17 +46,20 @@
     }
 
     /**
-     * A client for some routers.
+     * Creates a client.
      *
-     * @param adminAddresses of the routers' admin servers, host:port
-     * @param operator recorded as who changed a rollout
+     * @param adminAddresses addresses of the routers' admin servers, as host:port
+     * @param operator the name that is recorded with each change of a rollout
      */
     public RolloutClient(List<String> adminAddresses, String operator) {
         this.adminAddresses = adminAddresses;
         this.operator = operator;
     }
 
-    /** A client for these routers and all peers from which they sync targets; an unavailable router's are left out. */
+    /**
+     * Returns a client for these routers and all peers from which they sync targets; the peers of an unavailable
+     * router are left out.
+     */
     public RolloutClient withPeers() {
         List<String> withPeers = new ArrayList<>(adminAddresses);
         for (String address : adminAddresses) {
@@ -80,7 +82,7 @@
         return peers;
     }
 
-    /** The state of every rollout at each router, as lines for people. */
+    /** Returns the state of every rollout at each router, as human-readable lines. */
     public List<String> status() {
         return formatEach(admin::rollouts, RolloutClient::formatStatus);
     }
@@ -95,7 +97,7 @@
         return lines;
     }
 
-    /** Every target in the routers' journals, oldest first, as lines for people. */
+    /** Returns every target in the routers' journals, oldest first, as human-readable lines. */
     public List<String> history() {
         return formatEach(admin::history, RolloutClient::formatHistory);
     }
@@ -138,9 +140,9 @@
         List<RolloutTarget> targets = new ArrayList<>();
         for (RolloutPlan plan : plans) {
             RolloutTarget previous = newestTargets.get(plan.model());
-            if (previous != null && !mayFollow(previous, plan)) {
+            if (previous != null && !startsFromVersionInService(previous, plan)) {
                 refusals.add(plan.model() + ": its calls get version \"" + versionInService(previous) + "\", not \""
-                        + plan.from() + "\"; mend \"from\", or roll the release before it back");
+                        + plan.from() + "\"; correct \"from\", or roll back the previous release");
             } else {
                 targets.add(nextTarget(previous, plan, RolloutTarget.Mode.RUNNING, 0));
             }
@@ -148,8 +150,11 @@
         return send(targets, refusals);
     }
 
-    /** Otherwise all requests would go at once to a version that no worker has loaded. */
-    private static boolean mayFollow(RolloutTarget previous, RolloutPlan plan) {
+    /**
+     * Returns whether a plan starts from the version in service; otherwise all requests would go at once to a version
+     * that no worker has loaded.
+     */
+    private static boolean startsFromVersionInService(RolloutTarget previous, RolloutPlan plan) {
         return versionInService(previous).equals(plan.from()) || previous.plan().equals(plan);
     }
 
@@ -161,8 +166,8 @@
     /**
      * Changes the rollouts of some models.
      *
-     * @param models names, or none for every rollout there is
-     * @param change from the newest target to the next; its epoch, operator and time are set here
+     * @param models names of the models; empty for every rollout
+     * @param change derives the next target from the newest; the next target's epoch, operator and time are set here
      */
     public RolloutResult change(List<String> models, UnaryOperator<RolloutTarget> change) {
         Map<String, RolloutTarget> newestTargets = newestTargets();
@@ -171,7 +176,7 @@
         for (String model : models.isEmpty() ? newestTargets.keySet() : models) {
             RolloutTarget previous = newestTargets.get(model);
             if (previous == null) {
-                refusals.add(model + ": no release there; start one");
+                refusals.add(model + ": there is no release; start one");
             } else {
                 RolloutTarget changed = change.apply(previous);
                 targets.add(nextTarget(previous, changed.plan(), changed.mode(), changed.step()));
@@ -185,7 +190,7 @@
         return new RolloutTarget(epoch, plan, mode, step, operator, System.currentTimeMillis());
     }
 
-    /** The newest target of each model that any router knows; one that was unavailable may know an older one. */
+    /** Returns the newest target of each model at any router; one that was unavailable may have an older target. */
     private Map<String, RolloutTarget> newestTargets() {
         Map<String, RolloutTarget> newest = new LinkedHashMap<>();
         for (String address : adminAddresses) {
@@ -212,7 +217,7 @@
         return new RolloutResult(sent.acceptedCount(), sent.requestedCount() + refusals.size(), lines);
     }
 
-    /** To all routers at once: an unavailable router delays no other. */
+    /** Sends targets to all routers at once, so that an unavailable router delays no other. */
     private RolloutResult send(List<RolloutTarget> targets) {
         if (targets.isEmpty()) {
             return new RolloutResult(0, 0, List.of());
@@ -238,7 +243,7 @@
             String address, RolloutTarget target, AdminClient.UpdateResponse response, int index) {
         String prefix = address + ": " + target.plan().model() + " epoch " + target.epoch() + ": ";
         if (!response.received()) {
-            return prefix + "no answer; it learns the order when it is back, or give it again";
+            return prefix + "no answer; it fetches the target from a peer when it is back, or repeat the command";
         }
         if (!response.isAccepted(index)) {
             return prefix + "refused: " + response.refusal(index);
--- a/kserve-router/src/main/java/pearladder/router/kserve/RolloutJournal.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RolloutJournal.java
@@ -23,12 +23,12 @@
 import pearladder.rollout.RolloutTarget;
 
 /**
- * An append-only file of rollout targets, as they were accepted, and of this router's progress with them. Each
- * line has the CRC-32 of its JSON in front and is on disk before anyone is told of it.
+ * An append-only file of the rollout targets, in the order in which they were accepted, and of this router's progress
+ * with them. Each line consists of the CRC-32 of its JSON and the JSON, and is on disk before it is acknowledged.
  *
- * <p>When the file is opened, a last line that a crash has left incomplete is truncated; a damaged line before
- * others is an error, since an accepted target would be lost with it. A long file is compacted then: the newest
- * target of each model with its progress remains, and the latest targets.
+ * <p>When the file is opened, a last line that a crash has left incomplete is removed. A damaged line that others
+ * follow is an error, since an accepted target would be lost with it. A long file is compacted when it is opened: the
+ * newest target of each model with its progress remains, and the latest targets.
  */
 final class RolloutJournal implements Closeable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -36,15 +36,15 @@
     private static final String COMPACTED_FILE_NAME = "releases.new";
     /** A file of more lines is compacted when it is opened. */
     private static final int MAX_LINES = 1000;
-    /** Targets that a compaction leaves, besides the newest of each model. */
-    private static final int COMPACTED_TARGETS = 200;
+    /** Number of latest targets that a compaction keeps, besides the newest of each model. */
+    private static final int LATEST_TARGETS_KEPT = 200;
 
     private static final int CHECKSUM_DIGITS = 8;
 
     private final Path file;
     private final List<RolloutTarget> targets = new CopyOnWriteArrayList<>();
     private final List<RolloutProgress> progress = new ArrayList<>();
-    private int lines;
+    private int lineCount;
     private FileChannel channel;
 
     private RolloutJournal(Path file) {
@@ -57,7 +57,7 @@
         RolloutJournal journal = new RolloutJournal(directory.resolve(FILE_NAME));
         journal.openChannel();
         journal.read();
-        if (journal.lines > MAX_LINES) {
+        if (journal.lineCount > MAX_LINES) {
             journal.compact();
         }
         return journal;
@@ -65,13 +65,13 @@
 
     private void openChannel() throws IOException {
         channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        if (!lock(channel)) {
+        if (!tryLock(channel)) {
             channel.close();
             throw new IOException(file + " is held by another router; give each its own data folder");
         }
     }
 
-    private static boolean lock(FileChannel channel) throws IOException {
+    private static boolean tryLock(FileChannel channel) throws IOException {
         try {
             FileLock lock = channel.tryLock();
             return lock != null;
@@ -92,13 +92,13 @@
                 channel.force(true);
                 break;
             }
-            lines++;
+            lineCount++;
             start = end + 1;
         }
         channel.position(channel.size());
     }
 
-    /** The index of the next line feed, or the length where there is none. */
+    /** Returns the index of the next line feed, or the length of the content where there is none. */
     private static int lineEnd(byte[] content, int start) {
         int end = start;
         while (end < content.length && content[end] != '\n') {
@@ -110,12 +110,12 @@
     private void checkIsLastLine(byte[] content, int end) throws IOException {
         if (lineEnd(content, end + 1) < content.length) {
             throw new IOException(
-                    file + ": line " + (lines + 1) + " is damaged and others stand behind it; look at it, "
-                            + "and take that line out only if you know what it held");
+                    file + ": line " + (lineCount + 1) + " is damaged, but not the last one; inspect the file, "
+                            + "and remove the line only if you know what it contained");
         }
     }
 
-    /** Adds what a line holds; false where it is damaged. */
+    /** Adds the target or the progress in a line; returns false where the line is damaged. */
     private boolean parse(String line) {
         if (line.length() < CHECKSUM_DIGITS + 2 || line.charAt(CHECKSUM_DIGITS) != ' ') {
             return false;
@@ -154,7 +154,7 @@
         return line.toByteArray();
     }
 
-    /** Appends targets in one write; where that fails, the file is as before, without any of them. */
+    /** Appends targets in one write; if that fails, the file is unchanged and contains none of them. */
     void append(List<RolloutTarget> added) throws IOException {
         ByteArrayOutputStream addedLines = new ByteArrayOutputStream();
         for (RolloutTarget target : added) {
@@ -164,7 +164,7 @@
         targets.addAll(added);
     }
 
-    /** Appends progress; where that fails, the file is as before. */
+    /** Appends progress; if that fails, the file is unchanged. */
     void append(RolloutProgress added) throws IOException {
         appendLines(line(added));
     }
@@ -192,10 +192,10 @@
                 .filter(target -> !keptTargets.contains(target))
                 .forEach(target -> keptTargets.add(0, target));
         List<RolloutProgress> keptProgress = progressOf(newest);
-        Path compacted = file.resolveSibling(COMPACTED_FILE_NAME);
-        writeCompacted(compacted, keptTargets, keptProgress);
+        Path compactedFile = file.resolveSibling(COMPACTED_FILE_NAME);
+        writeCompacted(compactedFile, keptTargets, keptProgress);
         channel.close();
-        Files.move(compacted, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(compactedFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         openChannel();
         channel.position(channel.size());
         targets.clear();
@@ -205,38 +205,41 @@
     }
 
     private List<RolloutTarget> latestTargets() {
-        int first = Math.max(0, targets.size() - COMPACTED_TARGETS);
+        int first = Math.max(0, targets.size() - LATEST_TARGETS_KEPT);
         return new ArrayList<>(targets.subList(first, targets.size()));
     }
 
     private List<RolloutProgress> progressOf(Map<String, RolloutTarget> newest) {
         return progress.stream()
-                .filter(made -> newest.containsKey(made.model()))
-                .filter(made -> newest.get(made.model()).epoch() == made.epoch())
+                .filter(entry -> newest.containsKey(entry.model()))
+                .filter(entry -> newest.get(entry.model()).epoch() == entry.epoch())
                 .distinct()
                 .toList();
     }
 
-    private static void writeCompacted(Path compacted, List<RolloutTarget> targets, List<RolloutProgress> progress)
+    private static void writeCompacted(Path compactedFile, List<RolloutTarget> targets, List<RolloutProgress> progress)
             throws IOException {
         try (FileChannel output = FileChannel.open(
-                compacted, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+                compactedFile,
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE,
+                StandardOpenOption.TRUNCATE_EXISTING)) {
             for (RolloutTarget target : targets) {
                 AtomicFile.writeFully(output, line(target));
             }
-            for (RolloutProgress made : progress) {
-                AtomicFile.writeFully(output, line(made));
+            for (RolloutProgress entry : progress) {
+                AtomicFile.writeFully(output, line(entry));
             }
             output.force(true);
         }
     }
 
-    /** This router's progress when the journal was opened. */
+    /** Returns this router's progress when the journal was opened. */
     List<RolloutProgress> progress() {
         return List.copyOf(progress);
     }
 
-    /** Every target in the journal, oldest first. */
+    /** Returns every target in the journal, oldest first. */
     List<RolloutTarget> targets() {
         return List.copyOf(targets);
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/RolloutManager.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RolloutManager.java
@@ -26,43 +26,47 @@
  */
 public final class RolloutManager {
     /**
-     * The durable journal of rollouts. Each write ends once, and writes end in the order in which they were begun.
+     * The durable journal of rollouts. Each write is reported once, and writes are reported in the order in which
+     * they were begun.
      */
     public interface Journal {
-        /** Every target that was accepted, oldest first. */
+        /** Returns every accepted target, oldest first. */
         List<RolloutTarget> targets();
 
-        /** The progress that this router had made when the journal was opened. */
+        /** Returns the progress that this router had made when the journal was opened. */
         List<RolloutProgress> progress();
 
         /**
          * Writes targets, all or none.
          *
-         * @param failure null once they are durable, or why they could not be written
+         * @param onWritten called with null once they are durable, or with the reason why they were not written
          */
-        void write(List<RolloutTarget> targets, Consumer<String> failure);
+        void write(List<RolloutTarget> targets, Consumer<String> onWritten);
 
         /**
          * Writes progress.
          *
-         * @param failure null once it is durable, or why it could not be written
+         * @param onWritten called with null once it is durable, or with the reason why it was not written
          */
-        void write(RolloutProgress progress, Consumer<String> failure);
+        void write(RolloutProgress progress, Consumer<String> onWritten);
     }
 
     /**
-     * What a request says about the version it is to get.
+     * The properties of a request that determine which version it gets.
      *
      * @param requestId the request's id
-     * @param model that it names
-     * @param version null where the client leaves the choice to the router
-     * @param groupKey requests with the same key get the same version, or null
-     * @param tenant its tenant, or null
-     * @param idempotencyKey its idempotency key, or null
+     * @param model the model that the request names
+     * @param version the version that the request names, or null where the router chooses
+     * @param groupKey requests with the same key get the same version; null for none
+     * @param tenant the request's tenant, or null
+     * @param idempotencyKey the request's idempotency key, or null
      */
     public record VersionRequest(
             String requestId, String model, String version, String groupKey, String tenant, String idempotencyKey) {
-        /** The requests of one tenant with one key form a group; a request without a key is one by itself. */
+        /**
+         * Returns the group of the request: requests of one tenant with the same key form a group, and a request
+         * without a key forms its own.
+         */
         private String group() {
             return groupKey == null ? requestId : (tenant == null ? "" : tenant) + "\n" + groupKey;
         }
@@ -73,7 +77,7 @@
      *
      * @param version empty for the model without a version
      * @param function the function of model and version
-     * @param completionListener told how the request ended
+     * @param completionListener notified when the request ends
      */
     public record ChosenVersion(String version, String function, CompletionListener completionListener) {}
 
@@ -86,12 +90,12 @@
     private final RolloutController controller;
     private final Consumer<Event> policyEvents;
     private final Journal journal;
-    private final Map<RolloutTarget, List<Consumer<String>>> pendingAnswers = new HashMap<>();
-    /** What the controller chose last. */
+    private final Map<RolloutTarget, List<Consumer<String>>> pendingResults = new HashMap<>();
+    /** The version that the controller chose last. */
     private String chosenVersion;
 
     private long requestCount;
-    /** Targets of one request that are to be written together; null while there is no such request. */
+    /** Accepted targets of the current {@link #setTargets} call, which are written together; null outside one. */
     private List<RolloutTarget> batch;
 
     private boolean stopped;
@@ -115,17 +119,17 @@
                 .reduce(TimeSpan.ZERO, TimeSpan::atLeast);
     }
 
-    /** Continues the rollouts of the journal; called before the router is ready. */
+    /** Resumes the rollouts of the journal; called before the router is ready. */
     public void start() {
         handle(new RolloutEvent.JournalRestored(journal.targets(), journal.progress()));
     }
 
-    /** Ends the controller's part: later events do not reach it. */
+    /** Stops the rollouts: later events are ignored. */
     public void stop() {
         stopped = true;
     }
 
-    /** Another router has told its newest target of a model. */
+    /** Handles the newest target of a model that a peer has reported. */
     public void onPeerTarget(RolloutTarget target) {
         if (config.modelSettings(target.plan().model()) != null) {
             handle(new RolloutEvent.TargetReceived(target));
@@ -133,16 +137,19 @@
     }
 
     /** Chooses the version that a request gets. */
-    public ChosenVersion choose(VersionRequest wish) {
-        if (wish.version() != null) {
+    public ChosenVersion choose(VersionRequest versionRequest) {
+        if (versionRequest.version() != null) {
             return new ChosenVersion(
-                    wish.version(), Route.function(wish.model(), wish.version()), CompletionListener.NONE);
+                    versionRequest.version(),
+                    Route.function(versionRequest.model(), versionRequest.version()),
+                    CompletionListener.NONE);
         }
         String requestId = Long.toString(++requestCount);
-        String idempotencyKey = wish.idempotencyKey() == null ? "" : wish.idempotencyKey();
+        String idempotencyKey = versionRequest.idempotencyKey() == null ? "" : versionRequest.idempotencyKey();
         chosenVersion = "";
-        handle(new RolloutEvent.RequestReceived(requestId, wish.model(), wish.group(), idempotencyKey));
-        String function = Route.function(wish.model(), chosenVersion);
+        handle(new RolloutEvent.RequestReceived(
+                requestId, versionRequest.model(), versionRequest.group(), idempotencyKey));
+        String function = Route.function(versionRequest.model(), chosenVersion);
         return new ChosenVersion(chosenVersion, function, completionListener(requestId));
     }
 
@@ -160,7 +167,10 @@
         };
     }
 
-    /** The policy reports the prewarming of a function; functions without a version take no part in rollouts. */
+    /**
+     * Handles the progress of prewarming a function. A function without a version is ignored, since it is not part of
+     * a rollout.
+     */
     public void onPrewarmProgress(String function, double share) {
         int separator = function.lastIndexOf(VERSION_SEPARATOR);
         if (separator > 0) {
@@ -173,14 +183,14 @@
     /**
      * Applies an operator's targets, which are written to the journal together.
      *
-     * @param answers called once with a text for each target in turn: empty where it is durable and followed, or
-     *     why it was refused
+     * @param onResults called once with a text for each target, in their order: empty where the target is durable and
+     *     in effect, or the reason why it was refused
      */
-    public void setTargets(List<RolloutTarget> targets, Consumer<List<String>> answers) {
-        AnswerCollector collector = new AnswerCollector(targets.size(), answers);
+    public void setTargets(List<RolloutTarget> targets, Consumer<List<String>> onResults) {
+        ResultCollector collector = new ResultCollector(targets.size(), onResults);
         batch = new ArrayList<>();
         for (int i = 0; i < targets.size(); i++) {
-            setTargets(targets.get(i), collector.forTarget(i));
+            setTarget(targets.get(i), collector.forTarget(i));
         }
         List<RolloutTarget> accepted = batch;
         batch = null;
@@ -189,49 +199,49 @@
         }
     }
 
-    private void setTargets(RolloutTarget target, Consumer<String> answer) {
+    private void setTarget(RolloutTarget target, Consumer<String> onResult) {
         String model = target.plan().model();
         if (config.modelSettings(model) == null) {
-            answer.accept("plan.model: unknown model " + model + "; name one that this router's file knows");
+            onResult.accept("plan.model: unknown model " + model + "; name one that this router's file knows");
             return;
         }
-        pendingAnswers.computeIfAbsent(target, same -> new ArrayList<>()).add(answer);
+        pendingResults.computeIfAbsent(target, same -> new ArrayList<>()).add(onResult);
         handle(new RolloutEvent.TargetOrdered(target));
     }
 
-    /** Collects the answers to several targets, and passes them on once it has all. */
-    private static final class AnswerCollector {
-        private final String[] answers;
+    /** Collects the results of several targets, and passes them on when all are known. */
+    private static final class ResultCollector {
+        private final String[] results;
         private final Consumer<List<String>> whenComplete;
-        private int missing;
+        private int missingCount;
 
-        AnswerCollector(int count, Consumer<List<String>> whenComplete) {
-            this.answers = new String[count];
-            this.missing = count;
+        ResultCollector(int count, Consumer<List<String>> whenComplete) {
+            this.results = new String[count];
+            this.missingCount = count;
             this.whenComplete = whenComplete;
         }
 
         Consumer<String> forTarget(int index) {
-            return answer -> {
-                answers[index] = answer;
-                if (--missing == 0) {
-                    whenComplete.accept(List.of(answers));
+            return result -> {
+                results[index] = result;
+                if (--missingCount == 0) {
+                    whenComplete.accept(List.of(results));
                 }
             };
         }
     }
 
-    /** A line about each rollout, for operators. */
+    /** Returns a line about each rollout, for operators. */
     public List<String> status() {
         return controller.status();
     }
 
-    /** The newest target of each model. */
+    /** Returns the newest target of each model. */
     public List<RolloutTarget> targets() {
         return controller.targets();
     }
 
-    /** A checksum of the newest targets: two routers with the same one have the same targets. */
+    /** Returns a checksum of the newest targets; two routers with equal checksums have the same targets. */
     public String checksum() {
         CRC32 crc = new CRC32();
         controller.targets().stream()
@@ -241,7 +251,7 @@
         return Long.toHexString(crc.getValue());
     }
 
-    /** Every target that was accepted, oldest first. */
+    /** Returns every accepted target, oldest first. */
     public List<RolloutTarget> history() {
         return journal.targets();
     }
@@ -255,18 +265,18 @@
     private void execute(RolloutAction action) {
         if (action instanceof RolloutAction.UseVersion use) {
             chosenVersion = use.version();
-        } else if (action instanceof RolloutAction.LoadInstances prepare) {
-            requestPrewarm(prepare.model(), prepare.version(), prepare.referenceVersion(), prepare.share());
-        } else if (action instanceof RolloutAction.ReleaseInstances withdraw) {
-            requestPrewarm(withdraw.model(), withdraw.version(), withdraw.version(), 0);
-        } else if (action instanceof RolloutAction.PersistTarget keep) {
-            acceptTarget(keep.target());
-        } else if (action instanceof RolloutAction.PersistProgress note) {
-            writeProgress(note.progress());
-        } else if (action instanceof RolloutAction.RejectTarget refuse) {
-            answer(refuse.target(), refuse.reason());
-        } else if (action instanceof RolloutAction.ScheduleTick wake) {
-            timers.after(wake.delay(), () -> handle(new RolloutEvent.Tick()));
+        } else if (action instanceof RolloutAction.LoadInstances load) {
+            requestPrewarm(load.model(), load.version(), load.referenceVersion(), load.share());
+        } else if (action instanceof RolloutAction.ReleaseInstances release) {
+            requestPrewarm(release.model(), release.version(), release.version(), 0);
+        } else if (action instanceof RolloutAction.PersistTarget persistTarget) {
+            acceptTarget(persistTarget.target());
+        } else if (action instanceof RolloutAction.PersistProgress persistProgress) {
+            writeProgress(persistProgress.progress());
+        } else if (action instanceof RolloutAction.RejectTarget reject) {
+            complete(reject.target(), reject.reason());
+        } else if (action instanceof RolloutAction.ScheduleTick tick) {
+            timers.after(tick.delay(), () -> handle(new RolloutEvent.Tick()));
         } else if (action instanceof RolloutAction.Log log) {
             LOG.info(log.text());
         }
@@ -293,24 +303,24 @@
         }
     }
 
-    /** Where they cannot be written, they are refused and everything stays as it was. */
+    /** Writes targets to the journal; if that fails, the targets are refused and nothing changes. */
     private void writeTargets(List<RolloutTarget> targets) {
         journal.write(targets, failure -> {
             if (failure == null) {
                 for (RolloutTarget target : targets) {
                     handle(new RolloutEvent.TargetPersisted(target));
-                    answer(target, "");
+                    complete(target, "");
                 }
             } else {
                 LOG.atError().addKeyValue("cause", failure).log("rollout targets can't be written and are refused");
                 String refusal = "the journal can't be written: " + failure
                         + "; nothing was changed, make room or mend the disk and order again";
-                targets.forEach(target -> answer(target, refusal));
+                targets.forEach(target -> complete(target, refusal));
             }
         });
     }
 
-    /** Where it cannot be written, the rollout goes on; only a restart would then resume at a lower step. */
+    /** Writes progress to the journal; if that fails, the rollout continues, but a restart resumes at a lower step. */
     private void writeProgress(RolloutProgress progress) {
         journal.write(progress, failure -> {
             if (failure != null) {
@@ -319,10 +329,10 @@
         });
     }
 
-    private void answer(RolloutTarget target, String refusal) {
-        List<Consumer<String>> answers = pendingAnswers.remove(target);
-        if (answers != null) {
-            answers.forEach(answer -> answer.accept(refusal));
+    private void complete(RolloutTarget target, String result) {
+        List<Consumer<String>> callbacks = pendingResults.remove(target);
+        if (callbacks != null) {
+            callbacks.forEach(callback -> callback.accept(result));
         }
     }
 }
--- a/kserve-router/src/main/java/pearladder/router/kserve/RolloutPlanParser.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RolloutPlanParser.java
@@ -32,7 +32,7 @@
                 .map(model -> new RolloutPlan(model, from, to, steps, hold, leastRequests, gate, onBreach))
                 .toList();
         if (!plans.isEmpty()) {
-            // the plans differ in their model only
+            // the plans differ only in their models
             reportFaults(plans.get(0), rollout);
         }
         file.done();
--- a/kserve-router/src/main/java/pearladder/router/kserve/RolloutSync.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RolloutSync.java
@@ -24,18 +24,18 @@
 import pearladder.rollout.RolloutTarget;
 
 /**
- * Fetches the newest rollout targets from the other routers: from all of them before this one is ready, then from
- * one after the other. Guards against a router that was down, or partitioned, while a target was set. Which target
- * holds is decided by the rollout controller. A peer whose targets have the same checksum responds with none, so
- * that polling is cheap.
+ * Fetches the newest rollout targets from the other routers: from all of them before this router is ready, then from
+ * one peer at a time in turn. A router that was down or partitioned while a target was set receives the target this
+ * way. The rollout controller decides which target takes effect. A peer whose targets have the same checksum responds
+ * with none, so that polling is cheap.
  */
 final class RolloutSync {
     private static final Logger LOG = LoggerFactory.getLogger("pearladder.releases");
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long POLL_INTERVAL_MILLIS = 1000;
-    private static final long TIMEOUT_MILLIS = 1000;
+    private static final long FETCH_TIMEOUT_MILLIS = 1000;
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
-    /** Of a response without targets. */
+    /** The cost of fetching a response without targets. */
     private static final ResourceCost TYPICAL_COST = new ResourceCost(0, 500, 0);
 
     private final Vertx vertx;
@@ -67,20 +67,21 @@
 
     private static HttpClient createClient(Vertx vertx) {
         return vertx.createHttpClient(
-                new HttpClientOptions().setConnectTimeout((int) TIMEOUT_MILLIS), new PoolOptions().setHttp1MaxSize(1));
+                new HttpClientOptions().setConnectTimeout((int) FETCH_TIMEOUT_MILLIS),
+                new PoolOptions().setHttp1MaxSize(1));
     }
 
-    /** Asks every peer once, then one a second in turn. */
+    /** Fetches the targets of every peer once, then those of one peer per second in turn. */
     void start() {
         List<Future<Void>> responses = new ArrayList<>();
         peers.forEach(peer -> responses.add(fetch(peer)));
-        Future.join(responses).onComplete(all -> journal.flush().onComplete(written -> {
+        Future.join(responses).onComplete(fetched -> journal.flush().onComplete(written -> {
             synced = true;
             scheduleNext();
         }));
     }
 
-    /** Whether every peer was asked once, and the targets they told are in effect. */
+    /** Returns whether every peer was polled once and the targets that were received are in effect. */
     boolean isSynced() {
         return synced;
     }
@@ -97,10 +98,10 @@
                 JobClasses.SYNC, "", TYPICAL_COST, null, () -> fetch(peer).map(TYPICAL_COST));
     }
 
-    /** Succeeds in any case, at the latest at the timeout. */
+    /** Fetches the targets of a peer. The future always succeeds, at the latest at the timeout. */
     private Future<Void> fetch(RouterConfig.Address peer) {
         if (closed) {
-            // the job was begun between the end of this sync and that of the background work
+            // the job was started after this sync was closed and before the background work was stopped
             return Future.succeededFuture();
         }
         return client.request(new RequestOptions()
@@ -110,7 +111,7 @@
                         .setURI("/releases/newest?sum=" + rolloutManager.checksum()))
                 .compose(request ->
                         request.send().compose(HttpClientResponse::body).onFailure(failure -> request.reset()))
-                .timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .timeout(FETCH_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .<Void>map(body -> {
                     onResponse(peer, body);
                     return null;
@@ -128,13 +129,13 @@
         try {
             JsonNode response = body.length() > MAX_RESPONSE_BYTES ? null : JSON.readTree(body.getBytes());
             if (response == null || !response.has("targets")) {
-                updateReachable(peer, false, "its answer is none of a router");
+                updateReachable(peer, false, "the response is not that of a router");
                 return;
             }
             updateReachable(peer, true, "");
             applyTargets(response.path("targets"));
         } catch (IOException malformed) {
-            updateReachable(peer, false, "its answer can't be read");
+            updateReachable(peer, false, "the response can't be parsed");
         }
     }
 
@@ -147,7 +148,7 @@
         }
     }
 
-    /** Logs when a peer becomes unreachable, and when it is back. */
+    /** Logs when a peer becomes unreachable, and when it is reachable again. */
     private void updateReachable(RouterConfig.Address peer, boolean isReachable, String cause) {
         Boolean previous = reachable.put(peer, isReachable);
         boolean changed = previous == null ? !isReachable : previous != isReachable;
@@ -155,7 +156,10 @@
             LOG.atInfo()
                     .addKeyValue("router", peer.host() + ":" + peer.port())
                     .addKeyValue("cause", cause)
-                    .log(isReachable ? "orders are learnt from it again" : "no orders can be learnt from it");
+                    .log(
+                            isReachable
+                                    ? "rollout targets can be fetched from this peer again"
+                                    : "rollout targets can't be fetched from this peer");
         }
     }
 
--- a/kserve-router/src/main/java/pearladder/router/kserve/Router.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/Router.java
@@ -29,14 +29,14 @@
 
 /**
  * A KServe v2 router: its servers, its connections to workers and to the discovery service, its rollouts and one
- * routing policy, all on one event loop. It is started and stopped once. What it does with requests is in {@link
- * RequestManager}.
+ * routing policy, all on one event loop. A router is started and stopped once. {@link RequestManager} handles its
+ * requests.
  */
 public final class Router implements InferenceServer.RequestHandler, EndpointWatch.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
-    /** For the last writes of a stop; a disk that hangs must not hold it up for ever. */
+    /** Limits the final writes of a stop, so that a disk that hangs does not block it forever. */
     private static final int FINAL_WRITES_TIMEOUT_SECONDS = 5;
-    /** For the last response to leave its socket before the server is closed. */
+    /** Lets the last response leave its socket before the server is closed. */
     private static final long SERVER_CLOSE_DELAY_MILLIS = 50;
 
     private static final long SNAPSHOT_INTERVAL_MILLIS = 1000;
@@ -99,7 +99,7 @@
         this.rolloutSync = new RolloutSync(vertx, rolloutManager, journal, backgroundWork, config.peers());
     }
 
-    /** One event loop, and one thread for what blocks. */
+    /** Creates a Vert.x instance with one event loop and one thread for blocking code. */
     private static Vertx createVertx() {
         return Vertx.vertx(new VertxOptions()
                 .setEventLoopPoolSize(1)
@@ -128,8 +128,8 @@
     /**
      * Starts a router.
      *
-     * @param seed of the policy's random numbers; another one at every start
-     * @return the router once it listens; fails with an {@link IOException} whose message says what to do
+     * @param seed seed of the policy's random numbers; a different one at each start
+     * @return a future of the listening router; fails with an {@link IOException} whose message says what to do
      */
     public static Future<Router> start(RouterConfig config, PolicyFactory policyFactory, long seed) {
         Router router;
@@ -171,7 +171,7 @@
         endpointWatch.watch();
     }
 
-    /** Has the policy start from what the last run knew, as far as that still holds. */
+    /** Restores the policy's state from the snapshot of the previous process, as far as it is still valid. */
     private void restoreSnapshot(Event.EndpointsUpdated cachedEndpoints) {
         LoadRequestHistory history =
                 recorder.loadRequests(config.routingSettings().loadQuota().window());
@@ -185,7 +185,7 @@
                 history.complete(),
                 cachedEndpoints,
                 VertxTimers.currentTime(),
-                figures -> LOG.info("begins with what is believed " + figures)));
+                figures -> LOG.info("snapshot restore: " + figures)));
     }
 
     private void startRecording() {
@@ -209,11 +209,11 @@
                 ? Future.succeededFuture(0)
                 : new AdminServer(vertx, config, rolloutManager).listen();
         return adminListening
-                .compose(admin -> {
-                    adminPort = admin;
+                .compose(actualAdminPort -> {
+                    adminPort = actualAdminPort;
                     return server.listen();
                 })
-                .onSuccess(listening -> port = listening);
+                .onSuccess(actualPort -> port = actualPort);
     }
 
     private void onListening(PolicyFactory policyFactory) {
@@ -247,19 +247,19 @@
                 failure);
     }
 
-    /** The port that it listens on. */
+    /** Returns the port of the inference server. */
     public int port() {
         return port;
     }
 
-    /** The port of the admin server; 0 where there is none. */
+    /** Returns the port of the admin server; 0 where there is none. */
     public int adminPort() {
         return adminPort;
     }
 
     // ---- stop
 
-    /** Admits no more requests, completes those in flight or fails them at the configured limit, and ends. */
+    /** Stops the router: rejects new requests, completes those in flight and fails the rest at the drain timeout. */
     public synchronized Future<Void> stop() {
         if (stopCompletion == null) {
             stopCompletion = Promise.promise();
@@ -276,7 +276,7 @@
         long limitTimer = vertx.setTimer(drainLimitMillis, timerId -> {
             LOG.atWarn()
                     .addKeyValue("calls", requestManager.inFlight())
-                    .log("the bound is reached; terminating what is held");
+                    .log("drain timeout reached; failing the requests in flight");
             requestManager.failAll();
             drained.tryComplete();
         });
@@ -291,7 +291,10 @@
         });
     }
 
-    /** A future of this event loop is not completed once the loop has ended, so the last step is not chained. */
+    /**
+     * Closes the server and the files. The last step is not chained, since a future of this event loop is not
+     * completed once the loop has ended.
+     */
     private void closeServerAndFiles() {
         server.close()
                 .compose(closed -> recorder == null ? Future.<Void>succeededFuture() : writeFinalState())
@@ -363,13 +366,16 @@
     }
 
     @Override
-    public void onHeard() {
+    public void onMessageOrHeartbeat() {
         if (confirmsEndpointList()) {
             requestManager.dispatch(new Event.EndpointListConfirmed(VertxTimers.currentTime()));
         }
     }
 
-    /** Without health checks, workers that were idle could not prove that they are ready while discovery is away. */
+    /**
+     * Returns whether the policy is notified when the endpoint list is confirmed. Without health checks, idle workers
+     * could not prove that they are ready during a discovery outage.
+     */
     private boolean confirmsEndpointList() {
         return config.routingSettings().attemptLimits().probes();
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/RouterConfig.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RouterConfig.java
@@ -10,7 +10,7 @@
 /**
  * A router's configuration, read once at its start.
  *
- * @param name of this router, unique among them
+ * @param name name of this router, unique among all routers
  * @param host address to listen on
  * @param port to listen on; 0 for one that the system chooses
  * @param dataDirectory directory of the endpoint list cache, the rollout journal, the snapshot and the event log
@@ -21,7 +21,7 @@
  * @param models the models that requests may name
  * @param limits on requests, responses and client connections
  * @param connections to workers
- * @param drainTimeout requests in flight are failed so long after a stop began
+ * @param drainTimeout time from the beginning of a stop until requests in flight are failed
  * @param retention retention of the event log, or null for no event log
  */
 public record RouterConfig(
@@ -44,7 +44,7 @@
     /**
      * The discovery service.
      *
-     * @param silenceTimeout a connection on which nothing was received for so long counts as broken
+     * @param silenceTimeout time after which a connection without received data counts as broken
      */
     public record DiscoveryService(String host, int port, TimeSpan silenceTimeout) {}
 
@@ -53,7 +53,7 @@
      *
      * @param pattern a model's name, or a prefix followed by "*"
      * @param concurrency requests that a loaded instance executes at once
-     * @param memoryMb of an instance
+     * @param memoryMb memory of an instance, in MB
      * @param typicalLoadTime typical load time; null where it is not known
      * @param requestClass request class of requests that name none, or null
      */
@@ -65,13 +65,13 @@
     }
 
     /**
-     * Limits on what the router holds.
+     * Limits on requests, responses and client connections.
      *
-     * @param maxRequestBytes bytes of a request's body
-     * @param maxResponseBytes bytes of a worker's response
-     * @param maxRequestsInFlight requests in flight
-     * @param bodyTimeout a request whose body is not complete after so long is refused
-     * @param idleTimeout a client connection on which nothing was sent for so long is closed
+     * @param maxRequestBytes maximum length of a request's body, in bytes
+     * @param maxResponseBytes maximum length of a worker's response, in bytes
+     * @param maxRequestsInFlight maximum number of requests in flight
+     * @param bodyTimeout time after which a request with an incomplete body is refused
+     * @param idleTimeout time after which a client connection on which nothing was sent is closed
      */
     public record Limits(
             long maxRequestBytes,
@@ -83,13 +83,13 @@
     /**
      * Connections to one worker.
      *
-     * @param maxPerWorker how many at once
-     * @param connectTimeout the time to get one, from the pool or newly established
-     * @param idleTimeout one that was not used for so long is closed
+     * @param maxPerWorker maximum number of concurrent connections
+     * @param connectTimeout maximum time to acquire a connection, from the pool or newly established
+     * @param idleTimeout time after which an unused connection is closed
      */
     public record Connections(int maxPerWorker, TimeSpan connectTimeout, TimeSpan idleTimeout) {}
 
-    /** The settings of a model, by the first pattern that matches; null where none does. */
+    /** Returns the settings of the first pattern that matches a model; null where none does. */
     public ModelSettings modelSettings(String model) {
         for (ModelSettings candidate : models) {
             if (candidate.matches(model)) {
@@ -99,7 +99,7 @@
         return null;
     }
 
-    /** The request class of a name; null where there is none. */
+    /** Returns the request class with a name; null where there is none. */
     public RoutingSettings.RequestClass requestClass(String requestClass) {
         return routingSettings.requestClasses().stream()
                 .filter(candidate -> candidate.name().equals(requestClass))
--- a/kserve-router/src/main/java/pearladder/router/kserve/RouterConfigParser.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RouterConfigParser.java
@@ -82,13 +82,14 @@
         for (RequestClass requestClass : config.routingSettings().requestClasses()) {
             if (!config.limits().idleTimeout().isLongerThan(requestClass.deadline())) {
                 idle.addMistake(
-                        "a client's idle time is no longer than the abandon time of " + requestClass.name(),
-                        "make it longer, or waiting clients are cut off");
+                        "the idle time of client connections is not longer than the abandon time of category "
+                                + requestClass.name(),
+                        "make it longer, or the connections of waiting clients are closed");
             }
         }
     }
 
-    /** Null where the section is missing. */
+    /** Returns null where the section is missing. */
     private static RetentionSettings retention(ConfigValue records) {
         if (!records.isGiven()) {
             return null;
@@ -101,7 +102,8 @@
                 span(records.at("details"), "604800 s").toMillis());
         if (retention.maxBytes() < 2 * retention.segmentBytes()) {
             records.at("all")
-                    .addMistake("all records are less than two files of them", "make it larger, or \"file\" smaller");
+                    .addMistake(
+                            "the limit for all records is less than two files", "make it larger, or \"file\" smaller");
         }
         return retention;
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/RoutingSettingsParser.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RoutingSettingsParser.java
@@ -20,9 +20,9 @@
 
 /** Parses the sections of a router's configuration file that are settings of the routing policy. */
 final class RoutingSettingsParser {
-    /** The parts of a worker's load report, in the order of {@link pearladder.kserve.LoadReport}. */
+    /** The fields of a worker's load report, in the order of {@link pearladder.kserve.LoadReport}. */
     private static final List<String> LOAD_REPORT_FIELDS = List.of("held", "waiting", "busy", "loads", "pinned");
-    /** Shares are written with few digits, so that their sum may be a little more than 1. */
+    /** Shares are rounded to few digits, so that their sum may be slightly more than 1. */
     private static final double MAX_SUM_OF_SHARES = 1.0001;
 
     private RoutingSettingsParser() {}
@@ -69,7 +69,7 @@
         if (idempotency == Idempotency.FINGERPRINTED && deduplicationWindow.nanos() == 0) {
             section.at("remembered")
                     .addMistake(
-                            "a fingerprinted category says for how long repeats are dropped",
+                            "a fingerprinted category needs the time for which repeats are dropped",
                             "write for example \"remembered: 8 s\"");
         }
         return new RequestClass(
@@ -154,7 +154,7 @@
                 costs.at("idle_memory").number(0, 0, 1));
     }
 
-    /** A default that is null stands for a key that must be there. */
+    /** Parses a span of time; the key is required where the default is null. */
     private static TimeSpan span(ConfigValue value, String defaultSpan) {
         return new TimeSpan(value.span(defaultSpan));
     }
--- a/kserve-router/src/main/java/pearladder/router/kserve/SnapshotFile.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/SnapshotFile.java
@@ -16,12 +16,11 @@
 import pearladder.routing.state.PolicySnapshot;
 
 /**
- * The routing policy's snapshot on disk: eight bytes with the CRC-32C of what follows, then JSON. At a start the
- * file is renamed before it is read, so that a snapshot that crashes a router is used once: the next start finds
- * none.
+ * The routing policy's snapshot on disk: eight bytes with the CRC-32C of the rest, then JSON. At startup the file is
+ * renamed before it is read, so that a snapshot that crashes the router is used only once.
  */
 final class SnapshotFile {
-    /** The format that is written; no other one is read. */
+    /** The version of the file format; files of other versions are not read. */
     private static final int FORMAT = 1;
 
     private static final String FILE_NAME = "snapshot.json";
@@ -34,10 +33,10 @@
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES);
 
     /**
-     * What the file holds. The names of the components are those of the JSON.
+     * The content of the file. The component names are the field names of the JSON.
      *
      * @param format the version of the format
-     * @param wall when the snapshot was taken, milliseconds since 1970
+     * @param wall the time at which the snapshot was taken, in milliseconds since 1970
      * @param known the snapshot
      */
     record Taken(int format, long wall, PolicySnapshot known) {}
@@ -48,7 +47,7 @@
         this.file = directory.resolve(FILE_NAME);
     }
 
-    /** Takes the last snapshot, or null where there is none that can be read. */
+    /** Renames the file and returns its content, or null where there is no readable file. */
     Taken take() {
         Path used = file.resolveSibling(USED_FILE_NAME);
         try {
@@ -67,11 +66,11 @@
 
     private static Taken parse(byte[] content) throws IOException {
         if (content.length < CHECKSUM_BYTES || ByteBuffer.wrap(content).getLong() != checksum(content)) {
-            throw new IOException("its checksum is another one");
+            throw new IOException("it is truncated, or its checksum does not match");
         }
         Taken taken = JSON.readValue(content, CHECKSUM_BYTES, content.length - CHECKSUM_BYTES, Taken.class);
         if (taken.format() != FORMAT || !isComplete(taken.known())) {
-            throw new IOException("it is of another format");
+            throw new IOException("it is not a complete snapshot of the expected format version");
         }
         return taken;
     }
@@ -83,7 +82,7 @@
     /**
      * Replaces the snapshot.
      *
-     * @param takenAtMillis wall clock, milliseconds since 1970
+     * @param takenAtMillis the time of the snapshot, in milliseconds since 1970
      * @return the size of the file in bytes
      */
     long write(long takenAtMillis, PolicySnapshot snapshot) throws IOException {
@@ -97,7 +96,7 @@
         return content.length;
     }
 
-    /** Of what follows the first eight bytes. */
+    /** Returns the checksum of everything after the first eight bytes. */
     private static long checksum(byte[] content) {
         CRC32C crc = new CRC32C();
         crc.update(content, CHECKSUM_BYTES, content.length - CHECKSUM_BYTES);
--- a/kserve-router/src/main/java/pearladder/router/kserve/WarmUp.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/WarmUp.java
@@ -20,9 +20,8 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Guards against a router that is late for its first requests because its code is loaded and compiled only then:
- * before it is ready it has a policy that is thrown away handle invented requests, and sends requests to its own
- * server.
+ * Loads and compiles the router's code before the router is ready; otherwise its first requests would be late. A
+ * temporary policy handles synthetic requests, and the router sends requests to its own server.
  */
 final class WarmUp {
     private static final int POLICY_REQUESTS = 5000;
@@ -40,7 +39,7 @@
 
     private WarmUp() {}
 
-    /** Completed once it is done, or the time limit is reached. */
+    /** Runs the warm-up; the future completes once it is done or the time limit is reached. */
     static Future<Void> run(Vertx vertx, RouterConfig config, PolicyFactory policyFactory, int port) {
         long endsAt = System.nanoTime() + TIME_LIMIT.nanos();
         Future<Void> policyDone = vertx.executeBlocking(() -> {
@@ -51,11 +50,11 @@
                 new HttpClientOptions().setDefaultHost(config.host()).setDefaultPort(port),
                 new PoolOptions().setHttp1MaxSize(SERVER_CONNECTIONS));
         int[] requestsLeft = {SERVER_REQUESTS};
-        List<Future<Void>> all = new ArrayList<>(List.of(policyDone));
+        List<Future<Void>> tasks = new ArrayList<>(List.of(policyDone));
         for (int i = 0; i < SERVER_CONNECTIONS; i++) {
-            all.add(sendRequests(client, requestsLeft, endsAt));
+            tasks.add(sendRequests(client, requestsLeft, endsAt));
         }
-        return Future.join(all).<Void>mapEmpty().otherwiseEmpty().onComplete(done -> client.close());
+        return Future.join(tasks).<Void>mapEmpty().otherwiseEmpty().onComplete(done -> client.close());
     }
 
     private static Future<Void> sendRequests(HttpClient client, int[] requestsLeft, long endsAt) {
--- a/kserve-router/src/main/java/pearladder/router/kserve/WorkerConnectionPool.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/WorkerConnectionPool.java
@@ -10,8 +10,8 @@
 import io.vertx.core.http.RequestOptions;
 
 /**
- * This router's connections to one worker at one address. A connection carries one request at a time. That no
- * connection was had within the connect timeout proves that nothing was sent.
+ * This router's connections to one worker at one address. A connection carries one request at a time. If no connection
+ * is available within the connect timeout, nothing was sent.
  */
 final class WorkerConnectionPool {
     private static final int UNBOUNDED_QUEUE = -1;
@@ -40,8 +40,8 @@
                 .setConnectTimeout((int) settings.connectTimeout().toMillis())
                 .setKeepAliveTimeout(idleSeconds)
                 .setTcpNoDelay(true)
-                // Closing resets the connection: a request that was given up must not be delivered later, when a
-                // network partition ends.
+                // Closing resets the connection, so that an abandoned request is not delivered when a network
+                // partition ends.
                 .setSoLinger(0)
                 .setPipelining(false);
         PoolOptions poolOptions =
@@ -50,8 +50,8 @@
     }
 
     /**
-     * A connection for one request, whose end is reported by {@link #onRequestEnded}. The future fails if no
-     * connection was had in time, and then nothing was sent.
+     * Acquires a connection for one request, whose end the caller reports with {@link #onRequestEnded}. The future
+     * fails if no connection is available within the connect timeout; then nothing was sent.
      */
     Future<HttpClientRequest> request(HttpMethod method, String uri) {
         requestsInFlight++;
@@ -63,7 +63,7 @@
                 .setConnectTimeout(settings.connectTimeout().toMillis()));
     }
 
-    /** A request that was begun by {@link #request} has ended. */
+    /** Handles the end of a request that was begun with {@link #request}. */
     void onRequestEnded() {
         requestsInFlight--;
         if (retired && requestsInFlight == 0) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Closes the pool once its requests have ended; no new ones are begun. */
+    /** Closes the pool once its requests have ended; no new requests may be begun. */
     void retire() {
         if (!retired) {
             retired = true;
--- a/kserve-router/src/main/java/pearladder/router/kserve/WorkerRegistry.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/WorkerRegistry.java
@@ -24,10 +24,10 @@
     private final Map<String, WorkerConnectionPool> pools = new HashMap<>();
     private final EndpointList endpoints = new EndpointList(
             System.currentTimeMillis() * NANOS_PER_MILLI - System.nanoTime(), this::onUpdated, this::retire);
-    /** Whether the endpoint list has changed since the write under way was begun. */
+    /** Whether the endpoint list has changed since the current write of the cache began. */
     private boolean changedWhileWriting;
-    /** Null while nothing is being written. */
-    private Future<Void> writing;
+    /** The current write of the cache; null while there is none. */
+    private Future<Void> pendingWrite;
 
     WorkerRegistry(Vertx vertx, RouterConfig config, BackgroundWork backgroundWork) {
         this.vertx = vertx;
@@ -36,7 +36,7 @@
         this.cache = new EndpointListCache(config.dataDirectory());
     }
 
-    /** The cached list as the policy's first event; an empty one where none is cached. */
+    /** Returns the cached list as the policy's first event; the event is empty where no list is cached. */
     Event.EndpointsUpdated restore() {
         return endpoints.restore(cache.read());
     }
@@ -48,7 +48,7 @@
         return event;
     }
 
-    /** Whether a list was received or restored. */
+    /** Returns whether a list was received, or restored with entries. */
     boolean isKnown() {
         return endpoints.isKnown();
     }
@@ -57,7 +57,7 @@
         return endpoints.size();
     }
 
-    /** The connections to a worker, or null where none is listed under that name. */
+    /** Returns the connections to a worker, or null where the worker is not listed. */
     WorkerConnectionPool pool(String worker) {
         return pools.get(worker);
     }
@@ -77,32 +77,32 @@
         }
     }
 
-    /** One write at a time; what changes meanwhile is written after it. */
+    /** Writes the list to the cache, one write at a time; changes during a write are written after it. */
     private void writeCache() {
-        if (writing != null) {
+        if (pendingWrite != null) {
             changedWhileWriting = true;
             return;
         }
-        DiscoveryMessage complete = endpoints.snapshot();
-        ResourceCost cost = new ResourceCost(0, complete.entries().size() * BYTES_PER_ENTRY, 0);
-        writing = backgroundWork.submit(
+        DiscoveryMessage completeList = endpoints.snapshot();
+        ResourceCost cost = new ResourceCost(0, completeList.entries().size() * BYTES_PER_ENTRY, 0);
+        pendingWrite = backgroundWork.submit(
                 JobClasses.FLUSH,
                 "",
                 cost,
                 null,
                 () -> vertx.executeBlocking(() -> {
-                    cache.write(complete);
+                    cache.write(completeList);
                     return cost;
                 }));
-        writing.onComplete(result -> onWritten(result.cause()));
+        pendingWrite.onComplete(result -> onWritten(result.cause()));
     }
 
     private void onWritten(Throwable failure) {
-        writing = null;
+        pendingWrite = null;
         if (failure != null) {
             LOG.atWarn()
                     .addKeyValue("cause", failure.getMessage())
-                    .log("the last list can't be written; a restart may know an older one");
+                    .log("the endpoint list cache can't be written; a restart may begin with an older list");
         }
         if (changedWhileWriting) {
             changedWhileWriting = false;
