--- a/kserve-router/src/test/java/pearladder/router/kserve/BackgroundWorkTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/BackgroundWorkTest.java
@@ -17,9 +17,9 @@
 import pearladder.routing.api.MonotonicTime;
 import pearladder.routing.api.TimeSpan;
 
-/** Background jobs at the stop of a router. */
+/** Background jobs while a router stops. */
 class BackgroundWorkTest {
-    /** A clock that goes on when it is told to. */
+    /** A clock that advances only in {@link #advance}. */
     private static final class ManualTimers implements Timers {
         private record ScheduledTask(long dueAt, long number, Runnable task) {}
 
--- a/kserve-router/src/test/java/pearladder/router/kserve/DiscoveryOutageTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/DiscoveryOutageTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 import pearladder.emulator.Observation;
 
-/** Workers that begin to drain while discovery is silent, where the router may check their health. */
+/** Workers that begin to drain while discovery is silent, with health checks enabled. */
 class DiscoveryOutageTest {
-    /** The age from which the endpoint list is out of date, and the grace after which nothing may be sent. */
-    private static final long FORBIDDEN_AFTER_MILLIS = 2000 + 1000;
+    /** The age at which the endpoint list is outdated, plus the grace after which no request may be sent. */
+    private static final long NO_REQUESTS_AFTER_MILLIS = 2000 + 1000;
 
     private static final int REQUESTS = 20;
     private static final long REQUEST_PAUSE_MILLIS = 50;
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aWorkerThatDrainsUnseenGetsNothingNew() {
+    void aWorkerThatDrainsDuringADiscoveryOutageGetsNoNewRequests() {
         try (RouterHarness harness = new RouterHarness(
                 RouterHarness.FLEET_CONFIG.formatted(3), RouterHarness.CONFIG + "allowances: {probes: true}\n")) {
             assertEquals("settled", RouterHarness.outcome(RouterHarness.await(harness.send("pair-a", 5))));
@@ -29,7 +29,7 @@
                 harness.fleet.registry().setSilent(true);
                 harness.fleet.drain(worker);
             });
-            pause(FORBIDDEN_AFTER_MILLIS);
+            pause(NO_REQUESTS_AFTER_MILLIS);
             int before = harness.observations(Observation.ARRIVED).size();
             for (int i = 0; i < REQUESTS; i++) {
                 assertEquals("settled", RouterHarness.outcome(RouterHarness.await(harness.send("pair-a", 5))));
--- a/kserve-router/src/test/java/pearladder/router/kserve/EarlierVersionFilesTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/EarlierVersionFilesTest.java
@@ -16,7 +16,7 @@
 import pearladder.rollout.RolloutTarget;
 import pearladder.routing.api.TimeSpan;
 
-/** The files of a router of version 0.2.0 are read with their contents, and written in the same form. */
+/** Files of a router of version 0.2.0 are read completely, and written in the same bytes. */
 class EarlierVersionFilesTest {
     private static final String JOURNAL = "releases.journal";
     private static final String ENDPOINT_LIST = "last-list.json";
--- a/kserve-router/src/test/java/pearladder/router/kserve/EventRecorderTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/EventRecorderTest.java
@@ -23,7 +23,7 @@
 import pearladder.eventlog.LogEntry;
 import pearladder.eventlog.LogEntryType;
 
-/** What a router records of its requests, and what it reads of that at its next start; over sockets. */
+/** The entries that a router records, and the state that it restores at its next start; over sockets. */
 class EventRecorderTest {
     private static final String CONFIG = RouterHarness.CONFIG
             + """
@@ -68,7 +68,7 @@
                         "pearladder-call",
                         "c" + i));
             }
-            RouterHarness.awaitUntil("six ends are kept", () -> count(harness, LogEntryType.ENDED) == 6);
+            RouterHarness.awaitUntil("six request ends are recorded", () -> count(harness, LogEntryType.ENDED) == 6);
             assertEquals(1, count(harness, LogEntryType.LOADING));
             RouterHarness.stop(harness.router);
             List<LogEntry> entries = entries(harness);
@@ -83,7 +83,7 @@
         }
     }
 
-    /** The requests may fall into several periods; one of them waited for the load and did no work. */
+    /** The requests may fall into several usage intervals; the one that waited for the load counts as no work. */
     private static void assertWorkWorkersAndMemory(List<LogEntry> entries) {
         assertEquals(
                 Set.of("tender", "filing"),
@@ -113,7 +113,7 @@
             }
             String worker = harness.observations(Observation.ARRIVED).get(3).worker();
             Path snapshot = harness.directory.resolve("r1/snapshot.json");
-            RouterHarness.awaitUntil("a snapshot tells of the copy", () -> {
+            RouterHarness.awaitUntil("a snapshot contains the instance", () -> {
                 try {
                     return Files.exists(snapshot)
                             && Files.readString(snapshot, StandardCharsets.ISO_8859_1)
@@ -151,10 +151,11 @@
     void requestsContinueWhileTheDiskFailsAndBufferedEntriesAreWrittenLater() throws Exception {
         try (RouterHarness harness = startHarness()) {
             RouterHarness.await(harness.send("pair-a", 5, "pearladder-account", "tender"));
-            RouterHarness.awaitUntil("it is kept", () -> count(harness, LogEntryType.ENDED) == 1);
+            RouterHarness.awaitUntil(
+                    "the end of the request is recorded", () -> count(harness, LogEntryType.ENDED) == 1);
             Path segment;
             try (Stream<Path> files = Files.list(harness.directory.resolve("r1/records"))) {
-                segment = files.filter(observation -> observation.toString().endsWith(".db"))
+                segment = files.filter(file -> file.toString().endsWith(".db"))
                         .findFirst()
                         .orElseThrow();
             }
@@ -168,8 +169,7 @@
                                     RouterHarness.await(harness.send("pair-a", 5, "pearladder-account", "tender"))));
                 }
                 RouterHarness.awaitUntil(
-                        "the router says that nothing is kept",
-                        () -> harness.metric("pearladder_records_failing") == 1);
+                        "the router reports failing writes", () -> harness.metric("pearladder_records_failing") == 1);
                 for (int i = 0; i < 5; i++) {
                     assertEquals(
                             "settled",
@@ -178,9 +178,11 @@
                 }
                 lock.execute("rollback");
             }
-            RouterHarness.awaitUntil("all ends are kept", () -> count(harness, LogEntryType.ENDED) == 11);
-            RouterHarness.awaitUntil("it says so", () -> harness.metric("pearladder_records_failing") == 0);
-            RouterHarness.awaitUntil("what was left out is told", () -> count(harness, LogEntryType.DROPPED) == 1);
+            RouterHarness.awaitUntil("all request ends are recorded", () -> count(harness, LogEntryType.ENDED) == 11);
+            RouterHarness.awaitUntil(
+                    "the router reports successful writes", () -> harness.metric("pearladder_records_failing") == 0);
+            RouterHarness.awaitUntil(
+                    "the dropped entries are reported", () -> count(harness, LogEntryType.DROPPED) == 1);
         }
     }
 
--- a/kserve-router/src/test/java/pearladder/router/kserve/InferenceServerTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/InferenceServerTest.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The server that clients see: metadata, refused requests, large bodies and slow clients. */
+/** The inference server: metadata, refused requests, large bodies and slow clients. */
 class InferenceServerTest {
     private static final RawWorker.Script SUCCESS =
             (number, head, out, socket) -> RawWorker.respond(out, 200, "", "{}");
@@ -110,7 +110,8 @@
                 RouterHarness harness = RouterHarness.withWorkers(worker);
                 Socket silentClient = harness.sendRaw(RouterHarness.postRequest("pair-a", "", "{}"))) {
             RouterHarness.awaitUntil(
-                    "its answer is on its way", () -> harness.metric("pearladder_calls_total{state=\"settled\"}") == 1);
+                    "the response is being sent",
+                    () -> harness.metric("pearladder_calls_total{state=\"settled\"}") == 1);
             HttpResponse<String> other = RouterHarness.await(harness.send("pair-a", 1));
             assertEquals("settled", RouterHarness.outcome(other));
             assertEquals(8_000_000, other.body().length());
--- a/kserve-router/src/test/java/pearladder/router/kserve/RawWorker.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/RawWorker.java
@@ -13,15 +13,15 @@
 import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A worker whose bytes on the wire are written by a script of the test. */
+/** A worker whose responses are written to the socket by a script of the test. */
 final class RawWorker implements AutoCloseable {
-    /** Responds to one request that was received whole; the first has number 1. */
+    /** Responds to one request that was received completely; the first has number 1. */
     interface Script {
         void respond(int number, String head, OutputStream out, Socket socket) throws IOException;
     }
 
     final ServerSocket serverSocket;
-    /** Heads of the requests that were received whole, in order. */
+    /** Heads of the requests that were received completely, in order. */
     final List<String> requestHeads = new CopyOnWriteArrayList<>();
 
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
@@ -43,7 +43,7 @@
         thread.start();
     }
 
-    /** Writes a whole response. */
+    /** Writes a complete response. */
     static void respond(OutputStream out, int status, String headers, String body) throws IOException {
         out.write(("HTTP/1.1 " + status + " X\r\ncontent-length: " + body.length() + "\r\n" + headers + "\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII));
@@ -98,7 +98,7 @@
         return null;
     }
 
-    /** Whether the other side has closed every connection. */
+    /** Returns whether the router has closed every connection. */
     boolean areAllConnectionsClosed() {
         return sockets.stream().allMatch(Socket::isClosed);
     }
--- a/kserve-router/src/test/java/pearladder/router/kserve/RolloutClientTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/RolloutClientTest.java
@@ -11,7 +11,7 @@
 import pearladder.rollout.RolloutPlan;
 import pearladder.rollout.RolloutTarget;
 
-/** An operator's commands to several routers, and the reader of rollout plans. */
+/** An operator's commands to several routers, and the parser of rollout plans. */
 class RolloutClientTest {
     private static List<RolloutPlan> plan(String from, String to) {
         return RolloutPlanParser.read(YamlParser.read(
@@ -19,7 +19,7 @@
                 "release: {model: pair-a, from: \"" + from + "\", to: \"" + to + "\", steps: [0.5, 1], hold: 10 s}"));
     }
 
-    /** Two routers; one is down while a target is set, and ends with the newest target all the same. */
+    /** One of two routers is down while a target is set, and receives the newest target later. */
     @Test
     void targetsReachEveryRouterAndAnUnavailableOneCatchesUp() {
         try (RouterHarness harness = new RouterHarness(2)) {
--- a/kserve-router/src/test/java/pearladder/router/kserve/RolloutJournalTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/RolloutJournalTest.java
@@ -35,19 +35,19 @@
                     .getMessage()
                     .contains("held by another router"));
         }
-        byte[] whole = Files.readAllBytes(file);
-        int last = whole.length
-                - new String(whole, StandardCharsets.UTF_8)
+        byte[] content = Files.readAllBytes(file);
+        int lastLineStart = content.length
+                - new String(content, StandardCharsets.UTF_8)
                         .lines()
                         .reduce((a, b) -> b)
                         .orElseThrow()
                         .length()
                 - 1;
-        for (int cut = last + 1; cut < whole.length; cut += 7) {
-            Files.write(file, Arrays.copyOf(whole, cut));
-            assertLastLineIsReplaced("cut at " + cut);
+        for (int length = lastLineStart + 1; length < content.length; length += 7) {
+            Files.write(file, Arrays.copyOf(content, length));
+            assertLastLineIsReplaced("cut at " + length);
         }
-        byte[] damaged = whole.clone();
+        byte[] damaged = content.clone();
         damaged[20] ^= 1;
         Files.write(file, damaged);
         assertTrue(assertThrows(IOException.class, () -> RolloutJournal.open(directory))
@@ -88,7 +88,7 @@
             assertEquals(
                     List.of(new RolloutProgress("pair-a", 1005, 1, false)),
                     journal.progress(),
-                    "older ones say nothing");
+                    "the progress of older targets is dropped");
             assertEquals(target(5, "pair-old", Mode.ROLLED_BACK, 0), targets.get(0));
             assertEquals(1005, targets.get(200).epoch());
         }
--- a/kserve-router/src/test/java/pearladder/router/kserve/RolloutManagerTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/RolloutManagerTest.java
@@ -65,12 +65,12 @@
             assertEquals(
                     200,
                     sendTarget(harness, target(1, "pair-a", Mode.RUNNING, 0)).statusCode());
-            RouterHarness.awaitUntil("its copy stands and the step is taken", () -> status(harness)
+            RouterHarness.awaitUntil("the instance is loaded and the step is reached", () -> status(harness)
                     .contains("share 0.25"));
             assertTrue(
                     harness.observations(Observation.LOAD_REQUESTED).stream()
                             .anyMatch(observation -> observation.model().equals("pair-a@2")),
-                    "loaded ahead");
+                    "the new version is loaded in advance");
             Set<String> movedKeys = keysOnNewVersion(harness, 120);
             assertTrue(movedKeys.size() > 12 && movedKeys.size() < 50, "a quarter of 120: " + movedKeys.size());
             assertEquals(movedKeys, keysOnNewVersion(harness, 120), "a key keeps its version");
@@ -86,7 +86,7 @@
                             .POST(HttpRequest.BodyPublishers.ofString("{}"))
                             .build(),
                     HttpResponse.BodyHandlers.ofString()));
-            assertEquals("7", version(explicitVersion), "a call that names its version gets it");
+            assertEquals("7", version(explicitVersion), "a request that names a version gets it");
         }
     }
 
@@ -96,7 +96,7 @@
             RouterHarness.await(harness.send("pair-slow", 1));
             sendTarget(harness, target(1, "pair-slow", Mode.RUNNING, 1));
             RouterHarness.awaitUntil(
-                    "the load is ordered", () -> harness.observations(Observation.LOAD_REQUESTED).stream()
+                    "the load is requested", () -> harness.observations(Observation.LOAD_REQUESTED).stream()
                             .anyMatch(observation -> observation.model().equals("pair-slow@2")));
             assertEquals(
                     200,
@@ -106,7 +106,7 @@
                     200,
                     sendTarget(harness, target(3, "pair-slow", Mode.ROLLED_BACK, 0))
                             .statusCode(),
-                    "again is harmless");
+                    "a repeated rollback is accepted");
             for (int i = 0; i < 20; i++) {
                 HttpResponse<String> response =
                         RouterHarness.await(harness.send("pair-slow", 1, "pearladder-key", "k" + i));
@@ -125,7 +125,8 @@
                 RawWorker two = new RawWorker(script);
                 RouterHarness harness = RouterHarness.withWorkers(RouterHarness.CONFIG, one, two)) {
             sendTarget(harness, target(1, "pair-a", Mode.RUNNING, 0));
-            RouterHarness.awaitUntil("the step is taken", () -> status(harness).contains("share 0.25"));
+            RouterHarness.awaitUntil(
+                    "the step is reached", () -> status(harness).contains("share 0.25"));
             for (int i = 0; i < 400 && !status(harness).contains("broken"); i++) {
                 RouterHarness.await(harness.send("pair-a", 1, "pearladder-key", "doc-" + i));
             }
@@ -143,13 +144,13 @@
             harness.restartRouter(CONFIG);
             assertTrue(status(harness).contains("epoch 2, rolled_back"), status(harness));
             HttpResponse<String> stale = sendTarget(harness, target(1, "pair-a", Mode.RUNNING, 1));
-            assertEquals(409, stale.statusCode(), "an order from before, come late");
+            assertEquals(409, stale.statusCode(), "a late target with an older epoch is refused");
             harness.awaitReady();
             assertEquals("1", version(RouterHarness.await(harness.send("pair-a", 1))));
         }
     }
 
-    /** A router that was down while targets were set, by operators whose clocks are an hour apart. */
+    /** The router is down while targets are set by operators whose clocks differ by an hour. */
     @Test
     void aRestartedRouterSyncsTheNewestTargetFromAPeerBeforeItIsReady() throws IOException {
         try (RouterHarness harness = new RouterHarness(RouterHarness.FLEET_CONFIG.formatted(2), CONFIG)) {
@@ -159,30 +160,32 @@
             sendTarget(harness, new RolloutTarget(1, first.plan(), first.mode(), 1, "ann", 5 * hour));
             String config = CONFIG + "releases: {learn_from: [\"127.0.0.1:" + harness.router.adminPort() + "\"]}\n";
             String discoveryAddress = harness.discoveryAddress();
-            Router peerBefore = harness.startRouter("r2", discoveryAddress, config);
-            RouterHarness.awaitUntil(
-                    "it learns", () -> newestTargets(harness, peerBefore).contains("\"epoch\":1"));
-            RouterHarness.stop(peerBefore);
+            Router peer = harness.startRouter("r2", discoveryAddress, config);
+            RouterHarness.awaitUntil("the peer fetches the target", () -> newestTargets(harness, peer)
+                    .contains("\"epoch\":1"));
+            RouterHarness.stop(peer);
             assertEquals(
                     200,
                     sendTarget(harness, new RolloutTarget(2, second.plan(), second.mode(), 0, "ben", 4 * hour))
                             .statusCode(),
-                    "the epoch counts, whatever the clocks say");
+                    "the higher epoch takes effect, regardless of the clocks");
             Router restarted = harness.startRouter("r2", discoveryAddress, config);
             try {
                 awaitReadyWithoutDelay(harness, restarted);
-                assertTrue(newestTargets(harness, restarted).contains("\"epoch\":2"), "it was ready with an old order");
+                assertTrue(
+                        newestTargets(harness, restarted).contains("\"epoch\":2"),
+                        "the router became ready with an outdated target");
                 sendTarget(harness, target(3, "pair-a", Mode.PAUSED, 0));
-                RouterHarness.awaitUntil("it learns later ones too", () -> newestTargets(harness, restarted)
+                RouterHarness.awaitUntil("later targets are fetched too", () -> newestTargets(harness, restarted)
                         .contains("\"epoch\":3"));
             } finally {
                 RouterHarness.stop(restarted);
             }
-            assertNoTargetsForKnownDigest(harness);
+            assertNoTargetsForKnownChecksum(harness);
         }
     }
 
-    /** Polls without a pause, so that the first moment at which the router is ready is seen. */
+    /** Polls without a pause, to observe the first moment at which the router is ready. */
     private static void awaitReadyWithoutDelay(RouterHarness harness, Router router) {
         URI uri = URI.create("http://127.0.0.1:" + router.port() + "/v2/health/ready");
         HttpRequest request = HttpRequest.newBuilder(uri).build();
@@ -193,13 +196,13 @@
         }
     }
 
-    private static void assertNoTargetsForKnownDigest(RouterHarness harness) {
-        String digest = newestTargets(harness, harness.router).replaceAll(".*\"sum\":\"([0-9a-f]+)\".*", "$1");
-        HttpRequest request = HttpRequest.newBuilder(adminUri(harness, "/releases/newest?sum=" + digest))
+    private static void assertNoTargetsForKnownChecksum(RouterHarness harness) {
+        String checksum = newestTargets(harness, harness.router).replaceAll(".*\"sum\":\"([0-9a-f]+)\".*", "$1");
+        HttpRequest request = HttpRequest.newBuilder(adminUri(harness, "/releases/newest?sum=" + checksum))
                 .build();
         HttpResponse<String> response =
                 RouterHarness.await(harness.client.sendAsync(request, HttpResponse.BodyHandlers.ofString()));
-        assertTrue(response.body().endsWith("\"targets\":[]}"), "the same is not told twice");
+        assertTrue(response.body().endsWith("\"targets\":[]}"), "known targets are not sent again");
     }
 
     private static String newestTargets(RouterHarness harness, Router router) {
@@ -211,7 +214,10 @@
                 .body();
     }
 
-    /** Killed after the journal had the target and before the operator had the response: sent again, it is the same. */
+    /**
+     * A router that crashes after a target is in its journal and before the operator gets the response accepts the
+     * same target again.
+     */
     @Test
     void aTargetWhoseResponseWasLostIsInEffectAndMayBeSentAgain() throws IOException {
         try (RouterHarness harness = new RouterHarness(RouterHarness.FLEET_CONFIG.formatted(1), CONFIG)) {
@@ -234,12 +240,13 @@
     void aReachedStepIsRestoredAfterARestart() throws IOException {
         try (RouterHarness harness = new RouterHarness(RouterHarness.FLEET_CONFIG.formatted(3), CONFIG)) {
             sendTarget(harness, target(1, "pair-a", Mode.RUNNING, 0));
-            RouterHarness.awaitUntil("the step is taken", () -> status(harness).contains("share 0.25"));
+            RouterHarness.awaitUntil(
+                    "the step is reached", () -> status(harness).contains("share 0.25"));
             Set<String> movedKeys = keysOnNewVersion(harness, 80);
             RouterHarness.stop(harness.router);
             harness.restartRouter(CONFIG);
             harness.awaitReady();
-            assertEquals(movedKeys, keysOnNewVersion(harness, 80), "no key moves back for a restart");
+            assertEquals(movedKeys, keysOnNewVersion(harness, 80), "a restart moves no key back");
         }
     }
 
@@ -264,13 +271,13 @@
                 RouterHarness harness = RouterHarness.withWorkers(CONFIG, one, two)) {
             sendTarget(harness, target(1, "pair-a", Mode.RUNNING, 1));
             RouterHarness.awaitUntil(
-                    "the load is ordered",
+                    "the load is requested",
                     () -> one.requestHeads.stream().anyMatch(head -> head.contains("/load "))
                             || two.requestHeads.stream().anyMatch(head -> head.contains("/load ")));
             for (int i = 0; i < 60; i++) {
                 HttpResponse<String> response =
                         RouterHarness.await(harness.send("pair-a", 1, "pearladder-key", "doc-" + i));
-                assertEquals("settled", RouterHarness.outcome(response), "the old version goes on");
+                assertEquals("settled", RouterHarness.outcome(response), "the old version continues to serve");
                 assertEquals("1", version(response));
             }
             assertTrue(status(harness).contains("share 0.00"), status(harness));
--- a/kserve-router/src/test/java/pearladder/router/kserve/RolloutTargets.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/RolloutTargets.java
@@ -10,7 +10,7 @@
 final class RolloutTargets {
     private RolloutTargets() {}
 
-    /** A target to go from version 1 to version 2 in two steps. */
+    /** Returns a target that goes from version 1 to version 2 in two steps. */
     static RolloutTarget target(long epoch, String model, Mode mode, int step) {
         RolloutPlan plan = new RolloutPlan(
                 model,
--- a/kserve-router/src/test/java/pearladder/router/kserve/RouterHarness.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/RouterHarness.java
@@ -29,7 +29,10 @@
 import pearladder.kserve.DiscoveryMessage.WorkerState;
 import pearladder.routing.StickyFirstFitPolicy;
 
-/** A router, emulated workers with their discovery service, and a client in one process, on ports of the system. */
+/**
+ * A router, emulated workers with their discovery service, and a client in one process, on ports that the system
+ * chooses.
+ */
 final class RouterHarness implements AutoCloseable {
     static final String CONFIG =
             """
@@ -74,7 +77,7 @@
         this(FleetPlan.read(YamlParser.read("fleet", fleet)), config);
     }
 
-    /** A router to which discovery lists only these workers. */
+    /** Starts a router to which discovery lists only these workers. */
     static RouterHarness withWorkers(RawWorker... workers) {
         return withWorkers(CONFIG, workers);
     }
@@ -84,16 +87,16 @@
         for (int i = 0; i < workers.length; i++) {
             harness.announce("raw-" + i, workers[i].serverSocket.getLocalPort(), "east", WorkerState.IN_SERVICE);
         }
-        awaitUntil("the engines are listed", () -> harness.metric("pearladder_engines_listed") == workers.length);
+        awaitUntil("the workers are listed", () -> harness.metric("pearladder_engines_listed") == workers.length);
         return harness;
     }
 
-    /** Discovery lists a worker in a state. */
+    /** Lists a worker with a state in the discovery service. */
     void announce(String worker, int port, String zone, WorkerState state) {
         fleet.run(() -> fleet.registry().change(new Entry(worker, "127.0.0.1", port, zone, "raw", 0, state, 0)));
     }
 
-    /** A figure of the router's metrics; 0 where it is not there. */
+    /** Returns the value of a router's metric, or 0 where it is missing. */
     double metric(String name) {
         return get("/metrics")
                 .body()
@@ -116,7 +119,7 @@
             throw new IllegalStateException(failure);
         }
         router = startRouter("r1", discoveryAddress(), config);
-        awaitUntil("the list is there", () -> get("/v2/health/ready").statusCode() == 200);
+        awaitUntil("the router is ready", () -> get("/v2/health/ready").statusCode() == 200);
     }
 
     Router startRouter(String name, String discoveryAddress, String config) {
@@ -134,7 +137,7 @@
         await(router.stop().toCompletionStage().toCompletableFuture());
     }
 
-    /** Starts the first router again, from the files that it has left. */
+    /** Starts the first router again, with the files in its data directory. */
     void restartRouter(String config) {
         router = startRouter("r1", discoveryAddress(), config);
     }
@@ -144,7 +147,8 @@
     }
 
     void awaitReady() {
-        awaitUntil("it is ready", () -> get("/v2/health/ready").statusCode() == 200);
+        awaitUntil(
+                "the restarted router is ready", () -> get("/v2/health/ready").statusCode() == 200);
     }
 
     static <T> T await(CompletableFuture<T> future) {
@@ -155,12 +159,12 @@
         }
     }
 
-    /** Waits for a condition that must come true; the timeout only ends a run that has failed. */
+    /** Waits for a condition that must become true; the timeout only ends a run that has failed. */
     static void awaitUntil(String description, BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + CONDITION_TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNanos) {
-                throw new AssertionError("did not come: " + description);
+                throw new AssertionError("condition not met within the timeout: " + description);
             }
             LockSupport.parkNanos(POLL_NANOS);
         }
@@ -194,18 +198,18 @@
         return socket;
     }
 
-    /** An inference request as it goes over the wire; each header ends with a line end. */
+    /** Returns an inference request as sent over the wire; each header ends with CRLF. */
     static String postRequest(String model, String headers, String body) {
         return "POST /v2/models/" + model + "/infer HTTP/1.1\r\nhost: x\r\n" + headers + "content-length: "
                 + body.length() + "\r\n\r\n" + body;
     }
 
-    /** How the router answered: settled (succeeded), dismissed (rejected) or terminated (failed). */
+    /** Returns the outcome of a response: settled (succeeded), dismissed (rejected) or terminated (failed). */
     static String outcome(HttpResponse<?> response) {
         return response.headers().firstValue("pearladder-state").orElse("");
     }
 
-    /** The emulator's observations of one event, in order. */
+    /** Returns the emulator's observations of one event, in order. */
     List<Observation> observations(String event) {
         synchronized (observations) {
             return observations.stream()
@@ -214,7 +218,7 @@
         }
     }
 
-    /** The worker at which the newest request of a model arrived. */
+    /** Returns the worker at which the newest request of a model arrived. */
     String workerOf(String model) {
         return observations(Observation.ARRIVED).stream()
                 .filter(observation -> observation.model().equals(model))
--- a/kserve-router/src/test/java/pearladder/router/kserve/RouterLifecycleTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/RouterLifecycleTest.java
@@ -25,12 +25,13 @@
         try (RouterHarness harness = new RouterHarness(1)) {
             CompletableFuture<HttpResponse<String>> inFlight = harness.send("pair-slow", 5);
             RouterHarness.awaitUntil(
-                    "the call arrives",
+                    "the request arrives",
                     () -> harness.observations(Observation.ARRIVED).size() == 1);
             CompletableFuture<Void> stopped =
                     harness.router.stop().toCompletionStage().toCompletableFuture();
             RouterHarness.awaitUntil(
-                    "it is not ready", () -> harness.get("/v2/health/ready").statusCode() == 503);
+                    "the stopping router is not ready",
+                    () -> harness.get("/v2/health/ready").statusCode() == 503);
             HttpResponse<String> rejected = RouterHarness.await(harness.send("pair-a", 1));
             assertEquals("dismissed", RouterHarness.outcome(rejected));
             assertTrue(rejected.headers().firstValue("retry-after").isPresent());
@@ -44,7 +45,7 @@
         try (RawWorker hung = new RawWorker((number, head, out, socket) -> {});
                 RouterHarness harness = RouterHarness.withWorkers(hung)) {
             CompletableFuture<HttpResponse<String>> inFlight = harness.send("pair-a", 1, "pearladder-category", "post");
-            RouterHarness.awaitUntil("the call arrives", () -> hung.requestHeads.size() == 1);
+            RouterHarness.awaitUntil("the request arrives", () -> hung.requestHeads.size() == 1);
             harness.router.stop();
             assertEquals("terminated", RouterHarness.outcome(RouterHarness.await(inFlight)));
         }
@@ -54,7 +55,7 @@
     void aRouterStartsFromTheCachedEndpointListWhereDiscoveryIsUnavailable() {
         try (RawWorker worker = new RawWorker(SUCCESS);
                 RouterHarness harness = RouterHarness.withWorkers(worker)) {
-            RouterHarness.awaitUntil("the list is on disk", () -> {
+            RouterHarness.awaitUntil("the endpoint list is cached", () -> {
                 try {
                     return Files.readString(harness.directory.resolve("r1/last-list.json"))
                             .contains("raw-0");
@@ -79,7 +80,9 @@
             Router other = harness.startRouter("r2", harness.discoveryAddress(), RouterHarness.CONFIG);
             Router first = harness.router;
             harness.router = other;
-            RouterHarness.awaitUntil("it learns the list anew", () -> harness.metric("pearladder_engines_listed") == 1);
+            RouterHarness.awaitUntil(
+                    "the router receives the list from discovery",
+                    () -> harness.metric("pearladder_engines_listed") == 1);
             RouterHarness.stop(other);
             harness.router = first;
         }
@@ -93,13 +96,14 @@
             harness.fleet.run(() -> harness.fleet.discoveryServer().resetWatches());
             assertEquals("settled", RouterHarness.outcome(RouterHarness.await(harness.send("pair-a", 1))));
             harness.announce("later", later.serverSocket.getLocalPort(), "east", WorkerState.IN_SERVICE);
-            RouterHarness.awaitUntil("it is back", () -> harness.metric("pearladder_engines_listed") == 2);
+            RouterHarness.awaitUntil("the watch is reopened", () -> harness.metric("pearladder_engines_listed") == 2);
             harness.fleet.run(() -> harness.fleet.registry().setSilent(true));
             harness.announce("later", later.serverSocket.getLocalPort(), "east", WorkerState.GONE);
-            // the silence closes the connection; the router reconnects again and again and receives nothing
+            // the silence timeout closes the connection; the router reconnects repeatedly and receives nothing
             assertEquals(2, harness.metric("pearladder_engines_listed"));
             harness.fleet.run(() -> harness.fleet.registry().setSilent(false));
-            RouterHarness.awaitUntil("it heard what changed", () -> harness.metric("pearladder_engines_listed") == 1);
+            RouterHarness.awaitUntil(
+                    "the router receives the change", () -> harness.metric("pearladder_engines_listed") == 1);
         }
     }
 
--- a/kserve-router/src/test/java/pearladder/router/kserve/SnapshotFileTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/SnapshotFileTest.java
@@ -13,7 +13,7 @@
 import pearladder.routing.api.TimeSpan;
 import pearladder.routing.state.PolicySnapshot;
 
-/** The snapshot's file format does not change with the names in the code. */
+/** The snapshot's file format does not depend on the names in the code. */
 class SnapshotFileTest {
     private static final long TAKEN_AT = 1_764_655_200_000L;
     private static final PolicySnapshot SNAPSHOT = new PolicySnapshot(
@@ -37,25 +37,25 @@
             6.5);
 
     @TempDir
-    Path folder;
+    Path directory;
 
-    private static byte[] writtenBefore() throws IOException {
+    private static byte[] writtenByEarlierVersion() throws IOException {
         try (InputStream file = SnapshotFileTest.class.getResourceAsStream("/written-by-0.2.0/snapshot.json")) {
             return file.readAllBytes();
         }
     }
 
     @Test
-    void aFileWrittenByAnEarlierVersionIsReadWhole() throws IOException {
-        Files.write(folder.resolve("snapshot.json"), writtenBefore());
-        SnapshotFile.Taken taken = new SnapshotFile(folder).take();
+    void aFileWrittenByAnEarlierVersionIsReadCompletely() throws IOException {
+        Files.write(directory.resolve("snapshot.json"), writtenByEarlierVersion());
+        SnapshotFile.Taken taken = new SnapshotFile(directory).take();
         assertEquals(TAKEN_AT, taken.wall());
         assertEquals(SNAPSHOT, taken.known());
     }
 
     @Test
     void aFileIsWrittenWithTheNamesThatAnEarlierVersionReads() throws IOException {
-        new SnapshotFile(folder).write(TAKEN_AT, SNAPSHOT);
-        assertArrayEquals(writtenBefore(), Files.readAllBytes(folder.resolve("snapshot.json")));
+        new SnapshotFile(directory).write(TAKEN_AT, SNAPSHOT);
+        assertArrayEquals(writtenByEarlierVersion(), Files.readAllBytes(directory.resolve("snapshot.json")));
     }
 }
--- a/kserve-router/src/test/java/pearladder/router/kserve/WorkerFailureTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/WorkerFailureTest.java
@@ -28,13 +28,13 @@
     /** A response for another model reaches no client; an idempotent request is retried elsewhere. */
     @Test
     void aResponseForAnotherModelCompletesNoRequest() {
-        RawWorker.Script wrong = (number, head, out, socket) ->
+        RawWorker.Script wrongModel = (number, head, out, socket) ->
                 RawWorker.respond(out, 200, "pearladder-copy: stood\r\n", "{\"model_name\":\"pair-b\",\"outputs\":[]}");
-        RawWorker.Script right = (number, head, out, socket) -> RawWorker.respond(
+        RawWorker.Script rightModel = (number, head, out, socket) -> RawWorker.respond(
                 out, 200, "pearladder-copy: stood\r\n", "{\"id\":\"1\",\"model_name\":\"pair-a\",\"outputs\":[]}");
-        try (RawWorker one = new RawWorker(wrong);
-                RawWorker two = new RawWorker(right);
-                RouterHarness harness = RouterHarness.withWorkers(one, two)) {
+        try (RawWorker wrongWorker = new RawWorker(wrongModel);
+                RawWorker rightWorker = new RawWorker(rightModel);
+                RouterHarness harness = RouterHarness.withWorkers(wrongWorker, rightWorker)) {
             for (int i = 0; i < 10; i++) {
                 HttpResponse<String> response = RouterHarness.await(harness.send("pair-a", 1));
                 assertTrue(!response.body().contains("pair-b"), response.body());
@@ -46,8 +46,8 @@
                         nonIdempotent.body());
             }
             assertTrue(
-                    one.requestHeads.stream().anyMatch(head -> head.contains("/infer")),
-                    "the wrong one was asked as well");
+                    wrongWorker.requestHeads.stream().anyMatch(head -> head.contains("/infer")),
+                    "the worker with the wrong model received requests too");
         }
     }
 
@@ -56,13 +56,13 @@
         try (RouterHarness harness = new RouterHarness(2)) {
             CompletableFuture<HttpResponse<String>> waiting = harness.send("pair-slow", 5);
             RouterHarness.awaitUntil(
-                    "the call arrives",
+                    "the request arrives",
                     () -> harness.observations(Observation.ARRIVED).size() == 1);
             String worker = harness.workerOf("pair-slow");
             harness.fleet.run(() -> harness.fleet.drain(worker));
             assertEquals("settled", RouterHarness.outcome(RouterHarness.await(waiting)));
             RouterHarness.awaitUntil(
-                    "the router was told", () -> harness.observations(Observation.ENDPOINT_SENT).stream()
+                    "discovery sent the draining state", () -> harness.observations(Observation.ENDPOINT_SENT).stream()
                             .anyMatch(observation -> observation.worker().equals(worker)
                                     && observation.note().equals("DRAINING")));
             assertEquals("settled", RouterHarness.outcome(RouterHarness.await(harness.send("pair-slow", 5))));
@@ -76,13 +76,14 @@
             Socket client =
                     harness.sendRaw(RouterHarness.postRequest("pair-slow", "pearladder-patience-ms: 3000\r\n", "{}"));
             RouterHarness.awaitUntil(
-                    "the call arrives",
+                    "the request arrives",
                     () -> harness.observations(Observation.ARRIVED).size() == 1);
             client.close();
-            RouterHarness.awaitUntil("the router saw it", () -> harness.metric("pearladder_clients_left_total") == 1);
-            RouterHarness.awaitUntil("nothing is held", () -> harness.metric("pearladder_calls_open") == 0);
             RouterHarness.awaitUntil(
-                    "the load came up all the same",
+                    "the router detects the disconnect", () -> harness.metric("pearladder_clients_left_total") == 1);
+            RouterHarness.awaitUntil("no request is in flight", () -> harness.metric("pearladder_calls_open") == 0);
+            RouterHarness.awaitUntil(
+                    "the load completes nevertheless",
                     () -> harness.fleet.server("engine-0").worker().readyInstances("pair-slow") == 1);
             assertEquals(0, harness.observations(Observation.RAN).size());
         }
@@ -109,7 +110,7 @@
             RouterHarness.await(harness.send("pair-a", 1, "pearladder-category", "commit", "idempotency-key", "m-1"));
             List<String> heads = new ArrayList<>(first.requestHeads);
             heads.addAll(second.requestHeads);
-            assertTrue(heads.size() > 1, "legs: " + heads.size());
+            assertTrue(heads.size() > 1, "attempts: " + heads.size());
             assertTrue(heads.stream().allMatch(head -> head.contains("idempotency-key: m-1")));
         }
     }
@@ -130,7 +131,7 @@
                 assertEquals("terminated", RouterHarness.outcome(response));
                 assertTrue(
                         east.requestHeads.size() == eastBefore || west.requestHeads.size() == westBefore,
-                        "call " + i + " left its hall");
+                        "request " + i + " left its zone");
             }
         }
     }
@@ -147,7 +148,7 @@
                 assertEquals(
                         "settled",
                         RouterHarness.outcome(response),
-                        "a binding call may go on after an unreachable engine");
+                        "a non-idempotent request may be retried after an unreachable worker");
             }
             assertEquals(0, unreachable.requestHeads.size());
         }
@@ -162,7 +163,7 @@
                     harness.send("pair-a", 1, "pearladder-category", "post", "pearladder-patience-ms", "400"));
             long elapsedMillis = (System.nanoTime() - startedNanos) / 1_000_000;
             assertEquals("terminated", RouterHarness.outcome(response));
-            assertTrue(elapsedMillis >= 300, "given up after " + elapsedMillis + " ms");
+            assertTrue(elapsedMillis >= 300, "failed after " + elapsedMillis + " ms");
             RouterHarness.awaitUntil("its connection is closed, so that the work stops", hung::areAllConnectionsClosed);
         }
     }
@@ -229,9 +230,9 @@
         }
     }
 
-    /** Response and timeout meet at the same moment, many times over: whichever comes first is the only one. */
+    /** Response and timeout come at nearly the same time, at varying intervals: only the first of them is sent. */
     @Test
-    void aResponseAtTheInstantOfTheTimeoutIsTheOnlyOne() throws IOException {
+    void onlyOneResponseIsSentAtTheTimeout() throws IOException {
         RawWorker.Script late = (number, head, out, socket) -> {
             LockSupport.parkNanos(136_000_000L + number * 400_000L);
             RawWorker.respond(out, 200, "", "{}");
@@ -244,7 +245,7 @@
                         "pair-" + i, "pearladder-category: post\r\npearladder-patience-ms: 150\r\n", "{}")));
             }
             RouterHarness.awaitUntil(
-                    "all have ended",
+                    "all requests have ended",
                     () -> harness.metric("pearladder_calls_open") == 0
                             && harness.metric("pearladder_calls_total{state=\"settled\"}")
                                             + harness.metric("pearladder_calls_total{state=\"dismissed\"}")
@@ -253,7 +254,7 @@
             for (Socket client : clients) {
                 try (client) {
                     client.setSoTimeout(50);
-                    assertEquals(1, countResponses(client), "final answers on one connection");
+                    assertEquals(1, countResponses(client), "responses on one connection");
                 }
             }
         }
@@ -268,15 +269,15 @@
                 responses.add(harness.send("pair-" + i % 50, 1, "pearladder-patience-ms", "1500"));
             }
             for (CompletableFuture<HttpResponse<String>> pending : responses) {
-                String state = RouterHarness.outcome(RouterHarness.await(pending));
-                assertTrue(state.equals("dismissed") || state.equals("terminated"), state);
+                String outcome = RouterHarness.outcome(RouterHarness.await(pending));
+                assertTrue(outcome.equals("dismissed") || outcome.equals("terminated"), outcome);
             }
-            RouterHarness.awaitUntil("nothing is held", () -> harness.metric("pearladder_calls_open") == 0);
+            RouterHarness.awaitUntil("no request is in flight", () -> harness.metric("pearladder_calls_open") == 0);
             assertEquals(200, harness.get("/v2/health/live").statusCode());
         }
     }
 
-    /** Counts the responses on a connection until it has been quiet for its timeout. */
+    /** Counts the responses on a connection until nothing is received within its read timeout. */
     private static int countResponses(Socket socket) throws IOException {
         StringBuilder received = new StringBuilder();
         InputStream in = socket.getInputStream();
