--- a/deploy/Variants.java
+++ b/deploy/Variants.java
@@ -8,15 +8,22 @@
 import java.util.Map;
 
 /**
- * Lays two variants of the operators' deployments beside this file, so that the bench shows whether the program fits one
- * customer only: other class names, shares, tenants, limits, deadlines, worth and costs, one with another kind of effect and
- * an allowance less. The operators' files are read where they lie and stay there; what is written is not for the repository.
+ * Writes two variants of the operators' site files to deploy/sites, so that the benchmark shows whether the program is
+ * tuned to a single customer. The variants have other request class names, shares, tenants, limits, deadlines, worth
+ * and costs; one has another kind of effect and may not cancel attempts. The operators' files are only read; the
+ * variants do not belong in the repository.
  *
- * Usage: java deploy/Variants.java FIRST_SITE SECOND_SITE
+ * <p>Usage: java deploy/Variants.java FIRST_SITE SECOND_SITE
  */
 final class Variants {
-    /** What a table says instead; null takes the key away. Tables are named as in the file, with their place among equals. */
-    private record Change(String table, int place, Map<String, String> keys) {}
+    /**
+     * Changes of a table.
+     *
+     * @param table its name in the file; empty for the keys before the first table
+     * @param index its index among the tables of the same name
+     * @param values the new value of each changed key; null removes the key
+     */
+    private record Change(String table, int index, Map<String, String> values) {}
 
     private Variants() {}
 
@@ -26,7 +33,7 @@
                     "usage: java deploy/Variants.java FIRST_SITE SECOND_SITE, two site files of the operators");
             System.exit(2);
         }
-        lay(
+        writeVariant(
                 Path.of(arguments[0]),
                 "ferry-desk",
                 List.of(
@@ -97,7 +104,7 @@
                         change("tenant", 1, "name", "\"car-deck\"", "share", "0.35"),
                         change("tenant", 2, "name", "\"night-mail\"", "share", "0.15")),
                 List.of("", "[[tenant]]", "name = \"fish-quay\"", "share = 0.1", "usage = [0.5, 1.4]"));
-        lay(
+        writeVariant(
                 Path.of(arguments[1]),
                 "grain-ledger",
                 List.of(
@@ -138,51 +145,54 @@
                 List.of());
     }
 
-    private static Change change(String table, int place, String... keys) {
-        Map<String, String> all = new LinkedHashMap<>();
-        for (int i = 0; i < keys.length; i += 2) {
-            all.put(keys[i], keys[i + 1]);
+    private static Change change(String table, int index, String... keysAndValues) {
+        Map<String, String> values = new LinkedHashMap<>();
+        for (int i = 0; i < keysAndValues.length; i += 2) {
+            values.put(keysAndValues[i], keysAndValues[i + 1]);
         }
-        return new Change(table, place, all);
+        return new Change(table, index, values);
     }
 
-    private static void lay(Path site, String name, List<Change> changes, List<String> more) throws IOException {
+    private static void writeVariant(Path site, String name, List<Change> changes, List<String> addedLines)
+            throws IOException {
         List<String> lines = new ArrayList<>();
-        Map<String, Integer> met = new LinkedHashMap<>();
+        Map<String, Integer> tableCounts = new LinkedHashMap<>();
         String table = "";
-        int made = 0;
+        int changedKeys = 0;
         for (String line : Files.readAllLines(site)) {
             if (line.startsWith("[")) {
                 table = line.replaceAll("[\\[\\] ]", "");
-                met.merge(table, 1, Integer::sum);
+                tableCounts.merge(table, 1, Integer::sum);
             }
-            int place = met.getOrDefault(table, 1) - 1;
+            int index = tableCounts.getOrDefault(table, 1) - 1;
             String key = line.replaceAll(" *=.*", "");
-            String now = line;
+            String changedLine = line;
             for (Change change : changes) {
                 if (line.contains("=")
                         && change.table().equals(table)
-                        && change.place() == place
-                        && change.keys().containsKey(key)) {
-                    now = change.keys().get(key) == null
+                        && change.index() == index
+                        && change.values().containsKey(key)) {
+                    changedLine = change.values().get(key) == null
                             ? null
-                            : key + " = " + change.keys().get(key);
-                    made++;
+                            : key + " = " + change.values().get(key);
+                    changedKeys++;
                 }
             }
-            if (now != null) {
-                lines.add(now);
+            if (changedLine != null) {
+                lines.add(changedLine);
             }
         }
-        lines.addAll(more);
-        int wanted = changes.stream().mapToInt(change -> change.keys().size()).sum();
-        if (made != wanted) {
-            throw new IOException(site + " has " + made + " of the " + wanted + " keys that " + name + " changes");
+        lines.addAll(addedLines);
+        int expectedKeys =
+                changes.stream().mapToInt(change -> change.values().size()).sum();
+        if (changedKeys != expectedKeys) {
+            throw new IOException(
+                    site + " has " + changedKeys + " of the " + expectedKeys + " keys that " + name + " changes");
         }
         Path folder = Files.createDirectories(Path.of("deploy", "sites", name));
         Files.write(folder.resolve(name + ".toml"), lines);
-        for (String beside : List.of("real.json", "wire.json", "unlock.txt")) {
-            Files.copy(site.resolveSibling(beside), folder.resolve(beside), StandardCopyOption.REPLACE_EXISTING);
+        for (String sibling : List.of("real.json", "wire.json", "unlock.txt")) {
+            Files.copy(site.resolveSibling(sibling), folder.resolve(sibling), StandardCopyOption.REPLACE_EXISTING);
         }
         System.out.println(folder.resolve(name + ".toml"));
     }
