--- a/decisions/src/main/java/pearladder/routing/AdaptiveConcurrencyLimit.java
+++ b/decisions/src/main/java/pearladder/routing/AdaptiveConcurrencyLimit.java
@@ -52,7 +52,7 @@
 
     /** The mean latency of recent warm responses, in target latencies. */
     private double latencyRatio(Worker worker) {
-        return worker.latencyRatio.weight(state.now()) <= 0 ? 0 : worker.latencyRatio.read(state.now());
+        return worker.latencyRatio.weight(state.now()) <= 0 ? 0 : worker.latencyRatio.valueAt(state.now());
     }
 
     // Below one request the limit is a pace: first the worker's, then the function's there, so that heavy
@@ -107,10 +107,10 @@
 
     /** Reduces the limit to a factor of what is in use, unless it was reduced just before. */
     void decrease(Worker worker, double factor) {
-        if (!state.isPending(worker.limitReducedUntil)) {
+        if (!state.isPending(worker.nextLimitReductionAt)) {
             double used = Math.min(limit(worker), worker.warmAttemptsInFlight() + 1);
             worker.concurrencyLimit = Math.max(fairShare * fairShare, used * factor);
-            worker.limitReducedUntil = state.now().plus(OVERLOAD_PAUSE);
+            worker.nextLimitReductionAt = state.now().plus(OVERLOAD_PAUSE);
         }
     }
 }
--- a/decisions/src/main/java/pearladder/routing/AttemptOutcomeHandler.java
+++ b/decisions/src/main/java/pearladder/routing/AttemptOutcomeHandler.java
@@ -52,7 +52,7 @@
     private void onSuccess(Attempt attempt, Event.AttemptEnded event) {
         Placement placement = attempt.placement;
         InstanceStatus status = event.instanceStatus();
-        placement.worker.lastHeardAt = state.now();
+        placement.worker.lastResponseAt = state.now();
         placement.worker.successes.add(state.now(), 1);
         placement.renewedAt = state.now();
         placement.instances = Math.max(1, placement.instances);
@@ -84,7 +84,7 @@
 
     private void onFull(Placement placement, Event.AttemptEnded event) {
         Worker worker = placement.worker;
-        worker.lastHeardAt = state.now();
+        worker.lastResponseAt = state.now();
         if (isNeedlessRefusal(event)) {
             worker.addFailure(state.now(), NEEDLESS_REFUSAL);
         } else {
--- a/decisions/src/main/java/pearladder/routing/InstancePreloader.java
+++ b/decisions/src/main/java/pearladder/routing/InstancePreloader.java
@@ -53,7 +53,7 @@
     private boolean isInDemand(Function function) {
         return function.requestCount >= MIN_REQUESTS
                 && !function.cachedPlacements.isEmpty()
-                && function.recentRequests.read(state.now()) >= MIN_RECENT_REQUESTS;
+                && function.recentRequests.valueAt(state.now()) >= MIN_RECENT_REQUESTS;
     }
 
     private void renewIfDue(Placement placement) {
--- a/decisions/src/main/java/pearladder/routing/ModelLoadLimiter.java
+++ b/decisions/src/main/java/pearladder/routing/ModelLoadLimiter.java
@@ -51,7 +51,7 @@
     /** Updates the mean of the loads that workers report, once a tick. */
     void evaluate() {
         meanReportedLoads = state.endpoints().contacted().stream()
-                .filter(worker -> worker.lastHeardAt != null)
+                .filter(worker -> worker.lastResponseAt != null)
                 .mapToDouble(worker -> worker.reportedLoads)
                 .average()
                 .orElse(0);
@@ -72,7 +72,7 @@
 
     /** The share of attempts sent where no instance was assumed that had to wait for a load. */
     double coldLoadRatio() {
-        return coldLoadRatio.read(state.now());
+        return coldLoadRatio.valueAt(state.now());
     }
 
     /** Whether a request may be sent to a placement, where it might start a load. */
@@ -169,8 +169,8 @@
 
     void onLoadFailed() {
         failures.add(state.now(), 1);
-        double toleratedFailures = Math.max(MIN_FAILURES, FAILURE_SHARE * loads.read(state.now()));
-        if (failures.read(state.now()) > toleratedFailures) {
+        double toleratedFailures = Math.max(MIN_FAILURES, FAILURE_SHARE * loads.valueAt(state.now()));
+        if (failures.valueAt(state.now()) > toleratedFailures) {
             decreaseWindow("failed", 1, FAILURE_DECREASE);
         }
     }
--- a/decisions/src/main/java/pearladder/routing/OutlierDetector.java
+++ b/decisions/src/main/java/pearladder/routing/OutlierDetector.java
@@ -65,14 +65,14 @@
     }
 
     private boolean isJudged(Worker worker) {
-        return worker.responses.read(state.now()) >= 1
+        return worker.responses.valueAt(state.now()) >= 1
                 || !worker.attemptsInFlight.isEmpty()
                 || state.isPending(worker.ejectedUntil);
     }
 
     private Health health(Worker worker) {
-        double responses = worker.responses.read(state.now());
-        double slowness = worker.slowness.read(state.now());
+        double responses = worker.responses.valueAt(state.now());
+        double slowness = worker.slowness.valueAt(state.now());
         double overdueAttempts = 0;
         double overdueRatios = 0;
         boolean silent = true;
@@ -91,7 +91,7 @@
             responses += overdueAttempts;
             slowness += overdueRatios;
         }
-        double failures = worker.failures.read(state.now());
+        double failures = worker.failures.valueAt(state.now());
         return new Health(worker, responses, slowness / Math.max(1, responses), failures);
     }
 
--- a/decisions/src/main/java/pearladder/routing/ReadinessLease.java
+++ b/decisions/src/main/java/pearladder/routing/ReadinessLease.java
@@ -68,7 +68,7 @@
             listConfirmedAt = asOf;
         }
         if (isListCurrent()) {
-            state.endpoints().inService().forEach(Worker::clearReadinessVerdict);
+            state.endpoints().inService().forEach(Worker::clearReadinessFailures);
         }
     }
 
@@ -231,11 +231,11 @@
             return;
         }
         worker.refusedAt = state.now();
-        worker.refusalsInARow++;
+        worker.consecutiveRefusals++;
         if (needless) {
             worker.refusedUntil = state.now().plus(MAX_REFUSAL_PAUSE);
-        } else if (worker.refusalsInARow > 1) {
-            TimeSpan pause = FIRST_REFUSAL_PAUSE.times(Math.pow(2, worker.refusalsInARow - 2));
+        } else if (worker.consecutiveRefusals > 1) {
+            TimeSpan pause = FIRST_REFUSAL_PAUSE.times(Math.pow(2, worker.consecutiveRefusals - 2));
             worker.refusedUntil = state.now().plus(pause.atMost(MAX_REFUSAL_PAUSE));
         }
     }
--- a/decisions/src/main/java/pearladder/routing/RetryPolicy.java
+++ b/decisions/src/main/java/pearladder/routing/RetryPolicy.java
@@ -79,8 +79,8 @@
     }
 
     private boolean isWithinBudget() {
-        double budget = BUDGET_MIN + BUDGET_SHARE * recentRequests.read(state.now());
-        return recentRetries.read(state.now()) < budget;
+        double budget = BUDGET_MIN + BUDGET_SHARE * recentRequests.valueAt(state.now());
+        return recentRetries.valueAt(state.now()) < budget;
     }
 
     /** Whether an attempt of the request may be cancelled in order to send it elsewhere. */
--- a/decisions/src/main/java/pearladder/routing/StickyFirstFitPolicy.java
+++ b/decisions/src/main/java/pearladder/routing/StickyFirstFitPolicy.java
@@ -150,7 +150,7 @@
 
     /** Unused functions are dropped, as those that are called only once would pile up. */
     private boolean isForgotten(Function function) {
-        return function.recentRequests.read(state.now()) <= FORGOTTEN_REQUESTS
+        return function.recentRequests.valueAt(state.now()) <= FORGOTTEN_REQUESTS
                 && function.prewarmShare <= 0
                 && function.cachedPlacements.isEmpty()
                 && function.placements.values().stream().noneMatch(this::isHeld);
@@ -311,7 +311,7 @@
     }
 
     private double assumedInFlight(Worker worker, double mean) {
-        MonotonicTime heardAt = worker.lastHeardAt;
+        MonotonicTime heardAt = worker.lastResponseAt;
         boolean heard = heardAt != null && !state.age(heardAt).isLongerThan(HEARD_WITHIN);
         int inFlight = worker.attemptsInFlight.size();
         return heard ? inFlight : Math.max(inFlight, mean);
--- a/decisions/src/main/java/pearladder/routing/state/Attempt.java
+++ b/decisions/src/main/java/pearladder/routing/state/Attempt.java
@@ -3,19 +3,19 @@
 import pearladder.routing.api.MonotonicTime;
 import pearladder.routing.api.Outcome;
 
-/** One sending of a request to a worker; the outcome is null while it is in flight. */
+/** An attempt to have a worker execute a request; the outcome is null while it is in flight. */
 public final class Attempt {
     public final Request request;
     public final int number;
     public final Placement placement;
     public final MonotonicTime sentAt;
-    /** Whether an instance was assumed to be loaded there. */
+    /** Whether an instance was assumed to be loaded at the placement. */
     public final boolean assumedWarm;
 
     public Outcome outcome;
     public boolean cancelled;
 
-    /** The request's next attempt. */
+    /** Creates the request's next attempt, which the caller has to add to the request. */
     public Attempt(Request request, Placement placement, MonotonicTime sentAt, boolean assumedWarm) {
         this.request = request;
         this.number = request.attempts.size();
@@ -24,13 +24,13 @@
         this.assumedWarm = assumedWarm;
     }
 
-    /** Whether the worker hasn't responded to anything since this was sent. */
+    /** Returns whether the worker hasn't responded to anything since this attempt was sent. */
     public boolean isWorkerSilentSince() {
-        MonotonicTime lastHeardAt = placement.worker.lastHeardAt;
-        return lastHeardAt == null || lastHeardAt.isBefore(sentAt);
+        MonotonicTime lastResponseAt = placement.worker.lastResponseAt;
+        return lastResponseAt == null || lastResponseAt.isBefore(sentAt);
     }
 
-    /** Whether nothing proves that the worker never executed it. */
+    /** Returns whether the worker may have executed the attempt, as its outcome doesn't prove the contrary. */
     public boolean mayHaveExecuted() {
         return outcome == null || !outcome.neverExecuted;
     }
--- a/decisions/src/main/java/pearladder/routing/state/DecayingMean.java
+++ b/decisions/src/main/java/pearladder/routing/state/DecayingMean.java
@@ -11,9 +11,9 @@
     private final double priorWeight;
 
     /**
-     * @param decayTime the time after which a sample weighs 1/e
-     * @param priorSum what the prior adds to the sum
-     * @param priorWeight what the prior adds to the weight; above 0 where the mean is read before any sample
+     * @param decayTime the time after which a sample's weight has fallen to 1/e
+     * @param priorSum the prior's contribution to the weighted sum
+     * @param priorWeight the prior's weight; must be above 0 if the mean is read before the first sample
      */
     public DecayingMean(TimeSpan decayTime, double priorSum, double priorWeight) {
         this.sum = new DecayingSum(decayTime);
@@ -27,24 +27,29 @@
         addWeighted(now, value, 1);
     }
 
-    /** Adds samples whose values, each times its weight, sum to the first amount, with the sum of their weights. */
+    /**
+     * Adds one or more weighted samples.
+     *
+     * @param weightedValue the sum of the samples' values, each multiplied by its weight
+     * @param addedWeight the sum of the samples' weights
+     */
     public void addWeighted(MonotonicTime now, double weightedValue, double addedWeight) {
         sum.add(now, weightedValue);
         weight.add(now, addedWeight);
     }
 
-    /** The mean of the samples and the prior. */
-    public double read(MonotonicTime now) {
-        return (sum.read(now) + priorSum) / (weight.read(now) + priorWeight);
+    /** Returns the mean of the samples and the prior. */
+    public double valueAt(MonotonicTime now) {
+        return (sum.valueAt(now) + priorSum) / (weight.valueAt(now) + priorWeight);
     }
 
-    /** The decayed sum of weighted values, without the prior. */
+    /** Returns the decayed sum of weighted values, without the prior. */
     public double sum(MonotonicTime now) {
-        return sum.read(now);
+        return sum.valueAt(now);
     }
 
-    /** The decayed sum of weights, without the prior. */
+    /** Returns the decayed sum of weights, without the prior. */
     public double weight(MonotonicTime now) {
-        return weight.read(now);
+        return weight.valueAt(now);
     }
 }
--- a/decisions/src/main/java/pearladder/routing/state/DecayingSum.java
+++ b/decisions/src/main/java/pearladder/routing/state/DecayingSum.java
@@ -4,21 +4,21 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * A sum whose parts decay exponentially with age, brought up to date when read or added to. The result depends in its
- * last digits on when it was read.
+ * A sum of amounts that decay exponentially with age. The decay is applied at each read and addition, so that the last
+ * digits of the result depend on the times of earlier reads.
  */
 public final class DecayingSum {
     private final TimeSpan decayTime;
     private double sum;
     private MonotonicTime updatedAt;
 
-    /** @param decayTime the time after which a part counts 1/e */
+    /** @param decayTime the time after which an amount has decayed to 1/e */
     public DecayingSum(TimeSpan decayTime) {
         this.decayTime = decayTime;
     }
 
-    /** The sum now. */
-    public double read(MonotonicTime now) {
+    /** Returns the sum, decayed up to the given time. */
+    public double valueAt(MonotonicTime now) {
         if (updatedAt == null) {
             return 0;
         }
@@ -29,9 +29,9 @@
         return sum;
     }
 
-    /** Adds an amount of age 0; no decay is applied where the time is earlier than the last. */
+    /** Adds an amount of age 0; if the time is before the last one, no decay is applied. */
     public void add(MonotonicTime now, double amount) {
-        read(now);
+        valueAt(now);
         updatedAt = now;
         sum += amount;
     }
@@ -41,8 +41,8 @@
         sum = 0;
     }
 
-    /** The sum as a rate: the steady number a second that would have given this sum. */
+    /** Returns the sum as a rate: the constant amount per second that would result in this sum. */
     public double perSecond(MonotonicTime now) {
-        return read(now) / decayTime.toSeconds();
+        return valueAt(now) / decayTime.toSeconds();
     }
 }
--- a/decisions/src/main/java/pearladder/routing/state/EndpointList.java
+++ b/decisions/src/main/java/pearladder/routing/state/EndpointList.java
@@ -13,7 +13,7 @@
 import pearladder.routing.api.Event.EndpointState;
 import pearladder.routing.api.MonotonicTime;
 
-/** The workers as the endpoint list states them, with sorted sublists and the hash ring kept up to date. */
+/** The workers of the endpoint list, with sorted sublists and the hash ring. */
 public final class EndpointList {
     private static final Comparator<Worker> BY_ID = Comparator.comparing(worker -> worker.id);
 
@@ -29,31 +29,31 @@
         this.decayTimes = decayTimes;
     }
 
-    /** The workers in service, by id. */
+    /** Returns the workers in service, sorted by id. */
     public List<Worker> inService() {
         return inService;
     }
 
-    /** The workers in service that were ever sent an attempt, by id. */
+    /** Returns the workers in service that were ever sent an attempt, sorted by id. */
     public List<Worker> contacted() {
         return contacted;
     }
 
-    /** The workers in service that were warming up when last checked, by id. */
+    /** Returns the workers in service that were warming up when last checked, sorted by id. */
     public List<Worker> warmingUp() {
         return warmingUp;
     }
 
-    /** The worker, or null where no list ever named it. */
+    /** Returns the worker, or null if no endpoint list ever named it. */
     public Worker find(String workerId) {
         return workers.get(workerId);
     }
 
     /**
-     * The first worker in service, in the function's ring order, that matches; null where none does.
+     * Returns the first worker in service in the function's ring order that meets the condition; null if none does.
      *
-     * @param maxExamined so many workers are examined at the most
-     * @param avoided a worker that isn't considered, or null
+     * @param maxExamined the maximum number of workers to examine
+     * @param avoided a worker to leave out, or null
      */
     public Worker firstInRingOrder(Function function, int maxExamined, Worker avoided, Predicate<Worker> condition) {
         int examined = Math.min(maxExamined, inService.size());
@@ -66,7 +66,7 @@
         return null;
     }
 
-    /** Applies an update that isn't a failure. One that is no delta names all workers; the others are gone. */
+    /** Applies a successful update. Unless it is a delta, workers that it doesn't name are gone. */
     public void apply(Event.EndpointsUpdated update, Predicate<Worker> isWarmingUp) {
         Set<String> named = new HashSet<>();
         for (Event.Endpoint endpoint : update.endpoints()) {
@@ -92,29 +92,29 @@
         worker.state = endpoint.state();
         worker.startedAt = endpoint.startedAt();
         if (worker.state != EndpointState.IN_SERVICE || restarted) {
-            worker.invalidatePlacements();
+            worker.resetProcessState();
         }
         updateMembership(worker);
         setMember(warmingUp, worker, worker.onRing && isWarmingUp.test(worker));
     }
 
-    /** A worker in service is another process since a moment, by other evidence than the endpoint list's. */
+    /** Treats a worker in service as a new process, on other evidence than the endpoint list. */
     public void assumeRestarted(Worker worker, MonotonicTime startedAt) {
         worker.startedAt = startedAt;
         MonotonicTime provedReadyAt = worker.provedReadyAt;
-        worker.invalidatePlacements();
+        worker.resetProcessState();
         worker.provedReadyAt = provedReadyAt;
         setMember(warmingUp, worker, worker.onRing);
     }
 
     private void removeEndpoint(Worker worker) {
         worker.state = EndpointState.GONE;
-        worker.invalidatePlacements();
+        worker.resetProcessState();
         updateMembership(worker);
         setMember(warmingUp, worker, false);
     }
 
-    /** Changes only what differs. */
+    /** Adds the worker to or removes it from the ring and sublists if it entered or left service. */
     private void updateMembership(Worker worker) {
         boolean serves = worker.state == EndpointState.IN_SERVICE;
         if (serves == worker.onRing) {
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Records that an attempt is sent to the worker; to be called before its time of sending is set. */
+    /** Records that an attempt is sent to the worker; must be called before {@link Worker#sentAt} is set. */
     void addContacted(Worker worker) {
         if (worker.sentAt == null) {
             setMember(contacted, worker, worker.onRing);
--- a/decisions/src/main/java/pearladder/routing/state/EventDrivenPolicy.java
+++ b/decisions/src/main/java/pearladder/routing/state/EventDrivenPolicy.java
@@ -7,8 +7,8 @@
 import pearladder.routing.api.RoutingPolicy;
 
 /**
- * Passes each event to the method that decides on it, once the objects that it concerns are found. Events about unknown
- * objects, which may be late, are dropped, as are those that have no handler.
+ * Dispatches each event to its handler method, with the objects that the event names. Events about unknown objects,
+ * which may be late, and events without a handler are ignored.
  */
 public abstract class EventDrivenPolicy implements RoutingPolicy {
     private final RouterState state;
@@ -102,33 +102,33 @@
         }
     }
 
-    /** The first event is about to be handled. */
+    /** Called before the first event is handled. */
     protected abstract void onStart();
 
-    /** A request was admitted and counted; it has to be sent or answered now. */
+    /** Called when a request was admitted and counted; decides how to serve or answer it. */
     protected abstract void onRequestAdmitted(Request request);
 
-    /** An attempt has ended and is no longer counted as in flight. */
+    /** Called when an attempt has ended and is no longer counted as in flight. */
     protected abstract void onAttemptEnded(Attempt attempt, Event.AttemptEnded event);
 
-    /** A timer that was set with this tag has fired. */
+    /** Called when a timer that was set with this tag has fired. */
     protected abstract void onTimerFired(String tag);
 
-    /** The endpoint list has changed or could not be read; not yet applied. */
+    /** Called when the endpoint list has changed or could not be read; the update is not yet applied. */
     protected abstract void onEndpointsUpdated(Event.EndpointsUpdated event);
 
-    /** A snapshot of an earlier process is to be restored. */
+    /** Called when a snapshot of an earlier process has to be restored. */
     protected abstract void onSnapshotRestored(PolicySnapshot snapshot);
 
-    /** The endpoint list is complete up to a moment. */
+    /** Called when the endpoint list is confirmed to be complete up to the given time. */
     protected abstract void onEndpointListConfirmed(MonotonicTime asOf);
 
-    /** The endpoint list may be incomplete until it is confirmed. */
+    /** Called when the endpoint list may be incomplete until it is confirmed. */
     protected abstract void onEndpointListUnconfirmed();
 
-    /** A health check of a known worker ended. */
+    /** Called when a health check of a known worker has ended. */
     protected abstract void onHealthCheckCompleted(Worker worker, Event.HealthCheckCompleted event);
 
-    /** A load request was answered. */
+    /** Called when a load request has ended. */
     protected abstract void onLoadCompleted(Placement placement, Event.LoadCompleted event);
 }
--- a/decisions/src/main/java/pearladder/routing/state/Function.java
+++ b/decisions/src/main/java/pearladder/routing/state/Function.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import pearladder.routing.api.TimeSpan;
 
-/** A function: what its requests stated, its placements, and the short cached list of them. */
+/** A function: the requirements that its requests state, its placements, and the short cached list of placements. */
 public final class Function {
     public final String id;
     public int concurrency;
@@ -20,20 +20,20 @@
     public final DecayingSum recentRequests;
     public final DecayingSum warmResponses;
     public final DecayingSum warmSeconds;
-    /** Workers in ring order from the function's hash on, as far as computed. */
+    /** Workers in ring order, starting at the function's hash, as far as computed. */
     public final List<Worker> ringOrder = new ArrayList<>();
-    /** The same workers, for lookups. */
+    /** The workers of {@link #ringOrder}, for lookups. */
     public final Set<Worker> orderedWorkers = new HashSet<>();
 
-    /** The index of the ring's node from which the order continues. */
+    /** The index of the virtual node at which the computation of the ring order continues. */
     public int nextRingIndex;
 
-    /** The ring's version for which the order holds. */
+    /** The version of the ring for which the order was computed. */
     public long ringOrderVersion = -1;
-    /** All requests since it became known. */
+    /** The number of requests since the function became known. */
     public long requestCount;
 
-    /** The share of the reference function's instances that are to be loaded before requests; 0 for none. */
+    /** The share of the reference function's instances to load ahead of requests; 0 without prewarming. */
     public double prewarmShare;
 
     public Function prewarmReference;
@@ -49,13 +49,13 @@
         this.warmSeconds = new DecayingSum(rateDecay);
     }
 
-    /** The placement on the worker; where there is none, an empty one that isn't recorded. */
+    /** Returns the placement on the worker; if there is none, an empty one that isn't recorded. */
     public Placement placementOrEmpty(Worker worker) {
         Placement placement = placements.get(worker);
         return placement != null ? placement : new Placement(this, worker);
     }
 
-    /** The placement on the worker, new where there was none. */
+    /** Returns the placement on the worker, which is created if there is none. */
     public Placement placementOn(Worker worker) {
         Placement placement = placements.get(worker);
         if (placement == null) {
@@ -66,7 +66,7 @@
         return placement;
     }
 
-    /** Adds a placement to the cached list, kept in ring order; where the list is full its last entry is removed. */
+    /** Adds a placement to the cached list, which is kept in ring order; a full list loses its last entry. */
     public void cache(Placement placement, int maxCached) {
         if (cachedPlacements.contains(placement)) {
             return;
@@ -79,10 +79,10 @@
     }
 
     /**
-     * Sets what a request stated of the function.
+     * Sets the requirements that a request states for the function.
      *
-     * @param concurrency requests that one instance runs at once; at least 1 is assumed
-     * @param typicalLoadTime null where it isn't stated
+     * @param concurrency the concurrent requests of one instance; values below 1 count as 1
+     * @param typicalLoadTime null if it isn't stated
      */
     public void setRequirements(int concurrency, double memoryMb, TimeSpan typicalLoadTime) {
         this.concurrency = Math.max(1, concurrency);
--- a/decisions/src/main/java/pearladder/routing/state/HashRing.java
+++ b/decisions/src/main/java/pearladder/routing/state/HashRing.java
@@ -11,19 +11,19 @@
 import java.util.zip.CRC32;
 
 /**
- * A consistent-hash ring of workers, each with several virtual nodes. Walked clockwise from the hash of a function it
- * gives the same order of workers at every router, and a worker that joins or leaves moves few functions.
+ * A consistent-hash ring of workers, each with several virtual nodes. A clockwise walk from a function's hash gives the
+ * same order of workers at every router, and a worker that joins or leaves moves few functions.
  *
  * <p>The virtual nodes are kept in sorted arrays: with thousands of workers a tree takes five times the memory. Changes
  * of membership take effect with {@link #rebuild}, in time linear in the number of virtual nodes.
  */
 public final class HashRing {
-    private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
+    private static final long GOLDEN_RATIO_MULTIPLIER = 0x9E3779B97F4A7C15L; // 2^64 over the golden ratio
 
-    /** A position on the ring that a worker wants. */
-    private record Claim(long position, Worker worker) {}
+    /** A virtual node to be inserted at a position, unless the position is occupied. */
+    private record VirtualNode(long position, Worker worker) {}
 
-    /** What is hashed behind a worker's id for each of its virtual nodes. */
+    /** The suffixes that are appended to a worker's id to hash its virtual nodes. */
     private final List<byte[]> suffixes;
 
     private final CRC32 checksum = new CRC32();
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Applies the changes, and makes every function recompute its order when it is next asked for. */
+    /** Applies the additions and removals, and invalidates the ring order of every function. */
     void rebuild() {
         version++;
         if (!removed.isEmpty()) {
@@ -64,89 +64,92 @@
             removed.clear();
         }
         if (!added.isEmpty()) {
-            List<Claim> claims = new ArrayList<>(added.size() * suffixes.size());
-            added.forEach(worker -> addClaims(worker, claims));
+            List<VirtualNode> virtualNodes = new ArrayList<>(added.size() * suffixes.size());
+            added.forEach(worker -> addVirtualNodes(worker, virtualNodes));
             added.clear();
-            insert(claims);
+            insert(virtualNodes);
         }
     }
 
     private void dropRemoved() {
-        int kept = 0;
+        int keptCount = 0;
         for (int i = 0; i < positions.length; i++) {
             if (owners[i].onRing) {
-                positions[kept] = positions[i];
-                owners[kept] = owners[i];
-                kept++;
+                positions[keptCount] = positions[i];
+                owners[keptCount] = owners[i];
+                keptCount++;
             }
         }
-        positions = Arrays.copyOf(positions, kept);
-        owners = Arrays.copyOf(owners, kept);
+        positions = Arrays.copyOf(positions, keptCount);
+        owners = Arrays.copyOf(owners, keptCount);
     }
 
-    private void addClaims(Worker worker, List<Claim> claims) {
+    private void addVirtualNodes(Worker worker, List<VirtualNode> virtualNodes) {
         byte[] id = worker.id.getBytes(StandardCharsets.UTF_8);
         for (byte[] suffix : suffixes) {
             checksum.reset();
             checksum.update(id, 0, id.length);
             checksum.update(suffix, 0, suffix.length);
-            claims.add(new Claim(spread(checksum.getValue()), worker));
+            virtualNodes.add(new VirtualNode(spread(checksum.getValue()), worker));
         }
     }
 
     /**
-     * Inserts virtual nodes. One whose position another holds moves on to a position derived from it: two ids with the
-     * same checksum claim the same positions, and a worker without any would never be reached.
+     * Inserts virtual nodes. A node whose position is occupied moves to a position derived from it: two ids with the
+     * same checksum hash to the same positions, and a worker without any position would never be reached.
      */
-    private void insert(List<Claim> claims) {
-        long[] claimed =
-                claims.stream().mapToLong(Claim::position).sorted().distinct().toArray();
-        Worker[] claimants = new Worker[claimed.length];
-        List<Claim> displaced = new ArrayList<>();
-        for (Claim claim : claims) {
-            int index = Arrays.binarySearch(claimed, claim.position);
-            if (claimants[index] == null && Arrays.binarySearch(positions, claim.position) < 0) {
-                claimants[index] = claim.worker;
+    private void insert(List<VirtualNode> virtualNodes) {
+        long[] newPositions = virtualNodes.stream()
+                .mapToLong(VirtualNode::position)
+                .sorted()
+                .distinct()
+                .toArray();
+        Worker[] newOwners = new Worker[newPositions.length];
+        List<VirtualNode> displaced = new ArrayList<>();
+        for (VirtualNode virtualNode : virtualNodes) {
+            int index = Arrays.binarySearch(newPositions, virtualNode.position);
+            if (newOwners[index] == null && Arrays.binarySearch(positions, virtualNode.position) < 0) {
+                newOwners[index] = virtualNode.worker;
             } else {
-                displaced.add(new Claim(mix(claim.position + MULTIPLIER), claim.worker));
+                displaced.add(new VirtualNode(mix(virtualNode.position + GOLDEN_RATIO_MULTIPLIER), virtualNode.worker));
             }
         }
-        merge(claimed, claimants);
+        merge(newPositions, newOwners);
         if (!displaced.isEmpty()) {
             insert(displaced);
         }
     }
 
-    /** Merges sorted positions; those without a worker are left out. */
+    /** Merges sorted positions into the ring; positions without an owner are left out. */
     private void merge(long[] newPositions, Worker[] newOwners) {
         int length = positions.length
                 + (int) Arrays.stream(newOwners).filter(Objects::nonNull).count();
         long[] mergedPositions = new long[length];
         Worker[] mergedOwners = new Worker[length];
-        int merged = 0;
-        int old = 0;
+        int mergedCount = 0;
+        int oldIndex = 0;
         for (int i = 0; i < newPositions.length; i++) {
             if (newOwners[i] == null) {
                 continue;
             }
-            while (old < positions.length && positions[old] < newPositions[i]) {
-                mergedPositions[merged] = positions[old];
-                mergedOwners[merged++] = owners[old++];
+            while (oldIndex < positions.length && positions[oldIndex] < newPositions[i]) {
+                mergedPositions[mergedCount] = positions[oldIndex];
+                mergedOwners[mergedCount++] = owners[oldIndex++];
             }
-            mergedPositions[merged] = newPositions[i];
-            mergedOwners[merged++] = newOwners[i];
+            mergedPositions[mergedCount] = newPositions[i];
+            mergedOwners[mergedCount++] = newOwners[i];
         }
-        int rest = positions.length - old;
-        System.arraycopy(positions, old, mergedPositions, merged, rest);
-        System.arraycopy(owners, old, mergedOwners, merged, rest);
+        int remaining = positions.length - oldIndex;
+        System.arraycopy(positions, oldIndex, mergedPositions, mergedCount, remaining);
+        System.arraycopy(owners, oldIndex, mergedOwners, mergedCount, remaining);
         positions = mergedPositions;
         owners = mergedOwners;
     }
 
     /**
-     * The worker at an index of the function's ring order. The order is computed only as far as it is needed.
+     * Returns the worker at an index of the function's ring order, which is computed only as far as needed.
      *
-     * @param index 0 for the first worker; below the number of workers on the ring
+     * @param index 0 for the first worker; must be below the number of workers on the ring
      */
     Worker workerAt(Function function, int index) {
         if (function.ringOrderVersion != version) {
@@ -169,7 +172,7 @@
         }
     }
 
-    /** The index of the first node at a position or after it; the ring's first where there is none. */
+    /** Returns the index of the first virtual node at or after a position, wrapping around at the end of the ring. */
     private int firstIndexFrom(long position) {
         int found = Arrays.binarySearch(positions, position);
         int index = found >= 0 ? found : -found - 1;
@@ -183,9 +186,9 @@
         return spread(checksum.getValue());
     }
 
-    /** Spreads a checksum of 32 bits over 64, by two rounds of multiplication and shift. */
+    /** Spreads a 32-bit checksum over 64 bits by two rounds of multiplication and shift. */
     private static long spread(long checksum) {
-        return mix(checksum * MULTIPLIER);
+        return mix(checksum * GOLDEN_RATIO_MULTIPLIER);
     }
 
     private static long mix(long value) {
--- a/decisions/src/main/java/pearladder/routing/state/LoadQuotaCounter.java
+++ b/decisions/src/main/java/pearladder/routing/state/LoadQuotaCounter.java
@@ -12,32 +12,32 @@
     private final ArrayDeque<MonotonicTime> loadRequests = new ArrayDeque<>();
     private final ArrayDeque<MonotonicTime> admittedRequests = new ArrayDeque<>();
 
-    /** @param quota the quota as stated; a window of zero means that there is none */
+    /** @param quota the load quota of the settings; a window of zero means no limit */
     public LoadQuotaCounter(LoadQuota quota) {
         this.quota = quota;
     }
 
-    /** Counts a request that was admitted now. */
+    /** Counts an admitted request. */
     public void addAdmittedRequest(MonotonicTime now) {
         if (isLimited()) {
             admittedRequests.add(now);
         }
     }
 
-    /** Counts a load request; times are added in ascending order. */
+    /** Counts a load request; must be called in ascending order of time. */
     public void addLoadRequest(MonotonicTime sentAt) {
         loadRequests.add(sentAt);
     }
 
-    /** When the load requests were sent that may still count, oldest first. */
+    /** Returns the times of the load requests that may still be in the window, oldest first. */
     public Collection<MonotonicTime> loadRequests() {
         return loadRequests;
     }
 
     /**
-     * Whether one more load request stays within a share of the quota.
+     * Returns whether one more load request stays within a share of the quota.
      *
-     * @param share from 0 to 1
+     * @param share of the quota, from 0 to 1
      */
     public boolean allows(MonotonicTime now, double share) {
         if (!isLimited()) {
--- a/decisions/src/main/java/pearladder/routing/state/PolicySnapshot.java
+++ b/decisions/src/main/java/pearladder/routing/state/PolicySnapshot.java
@@ -4,13 +4,13 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * What a router's policy has learnt and would lose with its process, as plain state. Times are given as ages, so that
- * it means the same to another process.
+ * The state that a router's policy has learnt and would lose at the end of its process. Points in time are stored as
+ * ages, so that they are valid in another process.
  *
- * @param age how old all of it is
- * @param loadRequestAges the ages of the load requests that the load quota still counts
- * @param loadSeconds what recent loads took, a decaying sum in seconds
- * @param loadCount the decaying count of these loads
+ * @param age the age of the snapshot
+ * @param loadRequestAges the ages of the load requests that still count against the load quota
+ * @param loadSeconds the decaying sum of the times of recent loads, in seconds
+ * @param loadCount the decaying count of recent loads
  */
 public record PolicySnapshot(
         TimeSpan age,
@@ -20,14 +20,14 @@
         double loadSeconds,
         double loadCount) {
     /**
-     * A worker.
+     * The snapshot of a worker.
      *
-     * @param uptime the age of its process, or null where no list stated it
-     * @param ejectedFor it stays ejected for so much longer; zero where it isn't ejected
+     * @param uptime the age of its process, or null if no endpoint list stated it
+     * @param ejectedFor the remaining time of its ejection; zero if it isn't ejected
      */
     public record WorkerSnapshot(String worker, TimeSpan uptime, TimeSpan ejectedFor) {}
 
-    /** A function with its decaying sums. */
+    /** The snapshot of a function, with its decaying sums. */
     public record FunctionSnapshot(
             String function,
             int concurrency,
@@ -38,10 +38,10 @@
             double warmSeconds,
             List<InstanceSnapshot> instances) {}
 
-    /** Instances assumed on a worker, and for how long nothing has renewed that. */
+    /** The instances assumed on a worker, and the time since they were last renewed. */
     public record InstanceSnapshot(String worker, int instances, TimeSpan sinceRenewed, boolean cached) {}
 
-    /** Nothing at all. */
+    /** A snapshot without content. */
     public static final PolicySnapshot NOTHING =
             new PolicySnapshot(TimeSpan.ZERO, List.of(), List.of(), List.of(), 0, 0);
 }
--- a/decisions/src/main/java/pearladder/routing/state/PolicySnapshotMapper.java
+++ b/decisions/src/main/java/pearladder/routing/state/PolicySnapshotMapper.java
@@ -7,18 +7,18 @@
 import pearladder.routing.api.MonotonicTime;
 import pearladder.routing.api.TimeSpan;
 
-/** Writes a router's state as a snapshot and restores it in another process. */
+/** Converts a router's state to a snapshot and restores it in another process. */
 public final class PolicySnapshotMapper {
     private final RouterState state;
     private final TypicalTimes typicalTimes;
 
-    /** A mapper of this state. */
+    /** @param state the state to write and restore */
     public PolicySnapshotMapper(RouterState state) {
         this.state = state;
         this.typicalTimes = state.typicalTimes();
     }
 
-    /** The state now; only placements with an assumed instance are written. */
+    /** Returns a snapshot of the current state; placements without an assumed instance are left out. */
     public PolicySnapshot write(ToIntFunction<Placement> assumedInstances) {
         MonotonicTime now = state.now();
         List<PolicySnapshot.WorkerSnapshot> workers = new ArrayList<>();
@@ -31,7 +31,7 @@
         }
         List<TimeSpan> loadRequestAges =
                 state.loadQuota().loadRequests().stream().map(now::since).toList();
-        DecayingMean loadSeconds = typicalTimes.loadSeconds();
+        DecayingMean loadSeconds = typicalTimes.loadSecondsMean();
         return new PolicySnapshot(
                 TimeSpan.ZERO, workers, functions, loadRequestAges, loadSeconds.sum(now), loadSeconds.weight(now));
     }
@@ -55,9 +55,9 @@
                 Math.max(1, function.concurrency),
                 function.memoryMb,
                 function.typicalLoadTime,
-                function.recentRequests.read(now),
-                function.warmResponses.read(now),
-                function.warmSeconds.read(now),
+                function.recentRequests.valueAt(now),
+                function.warmResponses.valueAt(now),
+                function.warmSeconds.valueAt(now),
                 instances);
     }
 
@@ -68,7 +68,8 @@
     }
 
     /**
-     * Restores all of the snapshot that concerns workers in service. What of it is still valid was decided before.
+     * Restores the snapshot, without the parts that concern workers not in service. The caller has already removed the
+     * parts that are no longer valid.
      *
      * @param cache adds a placement to its function's cached list
      */
@@ -86,7 +87,7 @@
             restoreFunction(functionSnapshot, writtenAt, cache);
         }
         snapshot.loadRequestAges().forEach(age -> state.loadQuota().addLoadRequest(now.minus(age)));
-        typicalTimes.loadSeconds().addWeighted(writtenAt, snapshot.loadSeconds(), snapshot.loadCount());
+        typicalTimes.loadSecondsMean().addWeighted(writtenAt, snapshot.loadSeconds(), snapshot.loadCount());
     }
 
     private void restoreFunction(
--- a/decisions/src/main/java/pearladder/routing/state/Request.java
+++ b/decisions/src/main/java/pearladder/routing/state/Request.java
@@ -6,7 +6,7 @@
 import pearladder.routing.api.RoutingSettings.RequestClass;
 import pearladder.routing.api.TimeSpan;
 
-/** A request that this router admitted; it owes one final answer until the request is completed. */
+/** A request that this router admitted; until it is completed, the router has to give one final answer. */
 public final class Request {
     public final String id;
     public final Function function;
@@ -18,10 +18,10 @@
     public boolean completed;
     public boolean streaming;
     public int attemptsInFlight;
-    /** How often it has waited for a worker to prove that it is ready. */
+    /** The number of times that it has waited for a worker to prove that it is ready. */
     public int readinessWaits;
 
-    /** @param workEstimate the time that the client expects it to take, or null */
+    /** @param workEstimate the client's estimate of the processing time, or null */
     public Request(
             String id,
             Function function,
@@ -37,7 +37,7 @@
         this.workEstimate = workEstimate;
     }
 
-    /** The first attempt that the worker may have executed, or null where there is none. */
+    /** Returns the first attempt that a worker may have executed, or null if there is none. */
     public Attempt firstPossiblyExecuted() {
         for (Attempt attempt : attempts) {
             if (attempt.mayHaveExecuted()) {
--- a/decisions/src/main/java/pearladder/routing/state/RouterState.java
+++ b/decisions/src/main/java/pearladder/routing/state/RouterState.java
@@ -17,8 +17,8 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * What one router knows: its settings, endpoints, functions and open requests, with the counts of attempts in flight;
- * and, while an event is handled, its time and the actions decided so far. Shared by the mechanisms of the policy.
+ * The state of one router, shared by the mechanisms of the policy: its settings, endpoints, functions and open
+ * requests, with the counts of attempts in flight; and, while an event is handled, its time and the actions so far.
  */
 public final class RouterState {
     private final RoutingSettings settings;
@@ -47,18 +47,18 @@
         this.endpoints = new EndpointList(new HashRing(virtualNodesPerWorker), decayTimes);
     }
 
-    /** Sets the time of the event that is handled from here on. */
+    /** Sets the time of the event that is handled next. */
     public void advanceTo(MonotonicTime time) {
         now = time;
     }
 
-    /** Starts a new list of actions, which the caller of the policy will own. */
+    /** Starts and returns a new list of actions, which the caller of the policy owns after the event. */
     public List<Action> startActions() {
         actions = new ArrayList<>();
         return actions;
     }
 
-    /** Appends an action to the answer to the current event. */
+    /** Appends an action to the result of the current event. */
     public void emit(Action action) {
         actions.add(action);
     }
@@ -68,34 +68,34 @@
         emit(new Action.Log(String.format(format, arguments)));
     }
 
-    /** The time of the current event. */
+    /** Returns the time of the current event. */
     public MonotonicTime now() {
         return now;
     }
 
-    /** The time since a moment that isn't null. */
+    /** Returns the time elapsed since a moment, which must not be null. */
     public TimeSpan age(MonotonicTime moment) {
         return now.since(moment);
     }
 
-    /** Whether a moment, which may be null, lies ahead. */
+    /** Returns whether a moment is in the future; false for null. */
     public boolean isPending(MonotonicTime moment) {
         return moment != null && now.isBefore(moment);
     }
 
-    /** The time until the client's deadline for a request. */
+    /** Returns the time until the client's deadline for a request. */
     public TimeSpan timeLeft(Request request) {
         return request.deadlineAt.since(now);
     }
 
-    /** Whether the worker is eligible and refused nothing as full of late that concerns the function. */
+    /** Returns whether the worker is eligible and not skipped, for the function or at all, after a refusal as full. */
     public boolean isAvailable(Placement placement) {
         return isEligible(placement.worker)
                 && !isPending(placement.overloadedUntil)
                 && !isPending(placement.worker.overloadedUntil);
     }
 
-    /** Whether the worker is in service, not ejected, and not skipped for being unready or refusing work. */
+    /** Returns whether the worker is in service, not ejected, and not skipped as unready or for refusing work. */
     public boolean isEligible(Worker worker) {
         return worker.state == EndpointState.IN_SERVICE
                 && !isPending(worker.ejectedUntil)
@@ -103,47 +103,47 @@
                 && !isPending(worker.refusedUntil);
     }
 
-    /** The settings stated at the start. */
+    /** Returns the settings given at the start. */
     public RoutingSettings settings() {
         return settings;
     }
 
-    /** The time constants of decaying sums. */
+    /** Returns the time constants of the decaying sums. */
     public DecayTimes decayTimes() {
         return decayTimes;
     }
 
-    /** How long requests and loads typically take. */
+    /** Returns the typical times of requests and loads. */
     public TypicalTimes typicalTimes() {
         return typicalTimes;
     }
 
-    /** What counts against the load quota. */
+    /** Returns the counter that enforces the load quota. */
     public LoadQuotaCounter loadQuota() {
         return loadQuota;
     }
 
-    /** The workers as the endpoint list states them. */
+    /** Returns the workers of the endpoint list. */
     public EndpointList endpoints() {
         return endpoints;
     }
 
-    /** The known functions, in the order of their first request. */
+    /** Returns the known functions, in the order in which they became known. */
     public Collection<Function> functions() {
         return functions.values();
     }
 
-    /** The function, or null where it isn't known. */
+    /** Returns the function, or null if it isn't known. */
     public Function findFunction(String functionId) {
         return functions.get(functionId);
     }
 
-    /** The function, new where it wasn't known. */
+    /** Returns the function, which is created if it isn't known. */
     public Function function(String functionId) {
         return functions.computeIfAbsent(functionId, id -> new Function(id, decayTimes.demand(), decayTimes.rates()));
     }
 
-    /** Drops the functions that match, with their placements. */
+    /** Removes the functions that meet the condition, with their placements. */
     public void removeFunctionsIf(Predicate<Function> condition) {
         functions.values().removeIf(function -> {
             boolean removed = condition.test(function);
@@ -175,7 +175,7 @@
         return request;
     }
 
-    /** The attempt in flight that an event concerns, or null where there is none. */
+    /** Returns the attempt if it is in flight, else null. */
     public Attempt findInFlight(String requestId, int attemptNumber) {
         Request request = requests.get(requestId);
         if (request == null || attemptNumber < 0 || attemptNumber >= request.attempts.size()) {
@@ -185,14 +185,14 @@
         return attempt.outcome == null ? attempt : null;
     }
 
-    /** The placement of a function on a worker where both are known, else null. */
+    /** Returns the placement of a function on a worker, created if needed; null unless both are known. */
     public Placement findPlacement(String functionId, String workerId) {
         Worker worker = endpoints.find(workerId);
         Function function = functions.get(functionId);
         return worker == null || function == null ? null : function.placementOn(worker);
     }
 
-    /** The memory of the smallest kind of worker, in MB; 0 where it isn't stated. */
+    /** Returns the memory of the smallest kind of worker, in MB; 0 if the settings state none. */
     public double minWorkerMemoryMb() {
         return settings.instances().memoryByWorkerKind().stream()
                 .mapToDouble(mb -> mb)
@@ -200,12 +200,12 @@
                 .orElse(0);
     }
 
-    /** The request, or null once it has been answered and none of its attempts is in flight. */
+    /** Returns the request, or null once it has been answered and none of its attempts is in flight. */
     public Request findRequest(String requestId) {
         return requests.get(requestId);
     }
 
-    /** Records that the request has its final answer; it is dropped when its last attempt has ended. */
+    /** Marks the request as completed, and removes it unless an attempt is still in flight. */
     public void completeRequest(Request request) {
         request.completed = true;
         if (request.attemptsInFlight == 0) {
@@ -213,17 +213,17 @@
         }
     }
 
-    /** The number of workers in service. */
+    /** Returns the number of workers in service. */
     public int workerCount() {
         return endpoints.inService().size();
     }
 
-    /** The mean number of attempts in flight on a worker in service. */
+    /** Returns the mean number of attempts in flight on a worker in service. */
     public double meanAttemptsInFlight() {
         return (double) attemptsInFlight / Math.max(1, workerCount());
     }
 
-    /** Counts an attempt that is sent now. */
+    /** Records an attempt that is sent now. */
     public void addAttempt(Attempt attempt) {
         Placement placement = attempt.placement;
         Worker worker = placement.worker;
@@ -239,7 +239,7 @@
         worker.sentAt = now;
     }
 
-    /** Counts an attempt as ended. */
+    /** Records that an attempt has ended. */
     public void endAttempt(Attempt attempt, Outcome outcome) {
         Worker worker = attempt.placement.worker;
         attempt.outcome = outcome;
--- a/decisions/src/main/java/pearladder/routing/state/SeededRandom.java
+++ b/decisions/src/main/java/pearladder/routing/state/SeededRandom.java
@@ -15,7 +15,7 @@
         this.seed = seed;
     }
 
-    /** The next number, from 0 inclusive to 1 exclusive. */
+    /** Returns the next number, from 0 inclusive to 1 exclusive. */
     public double next() {
         CRC32 crc = new CRC32();
         crc.update((seed + ":" + drawCount++).getBytes(StandardCharsets.UTF_8));
--- a/decisions/src/main/java/pearladder/routing/state/TokenBucket.java
+++ b/decisions/src/main/java/pearladder/routing/state/TokenBucket.java
@@ -12,7 +12,7 @@
      *
      * @param tokensPerSecond the rate since the last refill
      * @param maxTokens the size of the bucket
-     * @param initialTokens what the bucket holds after the first refill since its reset
+     * @param initialTokens the number of tokens after the first refill since the last reset
      */
     public void refill(MonotonicTime now, double tokensPerSecond, double maxTokens, double initialTokens) {
         if (refilledAt == null) {
@@ -24,7 +24,7 @@
         refilledAt = now;
     }
 
-    /** Whether it holds a whole token. */
+    /** Returns whether the bucket holds at least one token. */
     public boolean hasToken() {
         return tokens >= 1;
     }
@@ -34,7 +34,7 @@
         tokens -= 1;
     }
 
-    /** Resets it: the next refill is the first. */
+    /** Resets the bucket, so that the next refill sets the initial tokens. */
     public void reset() {
         refilledAt = null;
     }
--- a/decisions/src/main/java/pearladder/routing/state/TypicalTimes.java
+++ b/decisions/src/main/java/pearladder/routing/state/TypicalTimes.java
@@ -3,14 +3,14 @@
 import pearladder.routing.api.MonotonicTime;
 import pearladder.routing.api.TimeSpan;
 
-/** How long requests and loads typically take, as decaying means of what was measured. */
+/** Typical times of requests and loads, as decaying means of the measured times. */
 public final class TypicalTimes {
     /**
-     * What is assumed before anything is measured.
+     * The times assumed before any measurement.
      *
-     * @param requestSeconds a request's time, with the weight of one request
-     * @param functionWeight how many requests the mean over all functions weighs in a function's own mean
-     * @param loadSeconds a load's time, with the weight of one load
+     * @param requestSeconds the time of a request, with the weight of one request
+     * @param functionWeight the weight, in requests, of the mean over all functions in the mean of one function
+     * @param loadSeconds the time of a load, with the weight of one load
      */
     public record Priors(double requestSeconds, double functionWeight, double loadSeconds) {}
 
@@ -28,46 +28,46 @@
         this.functionPriorWeight = priors.functionWeight();
     }
 
-    /** The time of a function's request on an instance that is already loaded. */
+    /** Returns the time of a function's request on an instance that is already loaded. */
     public TimeSpan requestTime(Function function) {
         MonotonicTime now = state.now();
-        double mean = requestSeconds.read(now);
-        double responses = function.warmResponses.read(now) + functionPriorWeight;
-        return TimeSpan.seconds((function.warmSeconds.read(now) + functionPriorWeight * mean) / responses);
+        double mean = requestSeconds.valueAt(now);
+        double responses = function.warmResponses.valueAt(now) + functionPriorWeight;
+        return TimeSpan.seconds((function.warmSeconds.valueAt(now) + functionPriorWeight * mean) / responses);
     }
 
-    /** The time of one request: where it came with an estimate, the mean of that, scaled, and the function's time. */
+    /** Returns the time of one request: the function's time, averaged with the scaled work estimate if it has one. */
     public TimeSpan requestTime(Request request) {
         TimeSpan typical = requestTime(request.function);
         MonotonicTime now = state.now();
-        if (request.workEstimate == null || estimatedSeconds.read(now) <= 0) {
+        if (request.workEstimate == null || estimatedSeconds.valueAt(now) <= 0) {
             return typical;
         }
-        double measuredToEstimated = requestSeconds.sum(now) / estimatedSeconds.read(now);
+        double measuredToEstimated = requestSeconds.sum(now) / estimatedSeconds.valueAt(now);
         return typical.plus(request.workEstimate.times(measuredToEstimated)).times(0.5);
     }
 
-    /** The time of a function's request on an instance that is already loaded, in seconds. */
+    /** Returns the time of a function's request on an instance that is already loaded, in seconds. */
     public double requestSeconds(Function function) {
         return requestTime(function).toSeconds();
     }
 
-    /** The time of one request, in seconds. */
+    /** Returns the time of one request, in seconds. */
     public double requestSeconds(Request request) {
         return requestTime(request).toSeconds();
     }
 
-    /** The time of a load of the function, in seconds. */
+    /** Returns the time of a load of the function, in seconds. */
     public double loadSeconds(Function function) {
         return loadTime(function).toSeconds();
     }
 
-    /** The time of a load of the function: as stated, else the mean of all loads. */
+    /** Returns the time of a load of the function: as its requests state it, else the mean of all loads. */
     public TimeSpan loadTime(Function function) {
         if (function.typicalLoadTime != null) {
             return function.typicalLoadTime;
         }
-        return TimeSpan.seconds(loadSeconds.read(state.now()));
+        return TimeSpan.seconds(loadSeconds.valueAt(state.now()));
     }
 
     /** Records a response from an instance that was already loaded. */
@@ -86,8 +86,8 @@
         loadSeconds.add(state.now(), seconds);
     }
 
-    /** The decaying sums of load times, in seconds, and of their number. */
-    public DecayingMean loadSeconds() {
+    /** Returns the decaying mean of all load times, in seconds. */
+    public DecayingMean loadSecondsMean() {
         return loadSeconds;
     }
 }
--- a/decisions/src/main/java/pearladder/routing/state/Worker.java
+++ b/decisions/src/main/java/pearladder/routing/state/Worker.java
@@ -7,7 +7,7 @@
 import pearladder.routing.api.Event.EndpointState;
 import pearladder.routing.api.MonotonicTime;
 
-/** A worker as this router knows it: what the endpoint list stated, and what was sent to it and received from it. */
+/** The state of a worker as this router knows it, from the endpoint list, the attempts sent and the responses. */
 public final class Worker {
     public final String id;
     /** Whether it is in service, and so on the hash ring. */
@@ -16,56 +16,56 @@
     public String zone;
     public long cell;
     public EndpointState state = EndpointState.IN_SERVICE;
-    /** When its process started; null where no endpoint list states it. */
+    /** When its process started; null if no endpoint list states it. */
     public MonotonicTime startedAt;
 
     public final Set<Attempt> attemptsInFlight = new LinkedHashSet<>();
     public final List<Placement> placements = new ArrayList<>();
-    /** Ended attempts by which its health is judged. */
+    /** The number of ended attempts that count for its health. */
     public final DecayingSum responses;
-    /** Of these, the sum of their time over the time that they should take. */
+    /** The sum, over these attempts, of the ratio of their time to the typical time. */
     public final DecayingSum slowness;
-    /** Of these, how many failed; a refusal without need counts in part. */
+    /** The number of these attempts that failed; a needless refusal counts in part. */
     public final DecayingSum failures;
-    /** Successful responses. */
+    /** The number of successful responses. */
     public final DecayingSum successes;
-    /** Latency of warm responses as a share of what their latency objective allows, weighted by priority. */
+    /** The ratio of the latency of warm responses to their target latency, weighted by priority. */
     public final DecayingMean latencyRatio;
 
-    /** Attempts in flight that were sent where no instance was assumed to be loaded. */
+    /** Attempts in flight that were sent without an instance assumed to be loaded. */
     public int coldAttemptsInFlight;
-    /** Attempts that it may have in flight from this router; 0 before any was measured. */
+    /** Attempts that it may have in flight from this router; 0 before the first adjustment. */
     public double concurrencyLimit;
-    /** The limit is not reduced again before. */
-    public MonotonicTime limitReducedUntil;
+    /** The earliest time at which the concurrency limit may be reduced again. */
+    public MonotonicTime nextLimitReductionAt;
     /** When it last responded. */
-    public MonotonicTime lastHeardAt;
-    /** When an attempt was last sent to it; null where none was. */
+    public MonotonicTime lastResponseAt;
+    /** When an attempt was last sent to it; null if none was. */
     public MonotonicTime sentAt;
-    /** It refused as overloaded and is skipped until then. */
+    /** Until when it is skipped because it refused as overloaded. */
     public MonotonicTime overloadedUntil;
-    /** It was ejected as an outlier and is skipped until then. */
+    /** Until when it is skipped because it was ejected as an outlier. */
     public MonotonicTime ejectedUntil;
-    /** When a request or health check was sent that proved that it takes new work; null where none did of late. */
+    /** When the last request or health check was sent that proved it ready; null without a valid proof. */
     public MonotonicTime provedReadyAt;
-    /** When the health check under way was sent; null where there is none. */
+    /** When the pending health check was sent; null if none is pending. */
     public MonotonicTime checkSentAt;
-    /** It did not prove to be ready when asked, and is skipped until then. */
+    /** Until when it is skipped because it did not prove to be ready in a health check. */
     public MonotonicTime unreadyUntil;
-    /** When it last turned work away while the endpoint list was out of date; null where it did not. */
+    /** When it last refused work while the endpoint list was out of date; null if it did not. */
     public MonotonicTime refusedAt;
-    /** How often it did so since it last executed a request. */
-    public int refusalsInARow;
-    /** It turned work away that often, and is skipped until then. */
+    /** The number of such refusals since it last executed a request. */
+    public int consecutiveRefusals;
+    /** Until when it is skipped because of repeated refusals. */
     public MonotonicTime refusedUntil;
-    /** Whether it drained or was not there when last asked. */
+    /** Whether it was draining or unreachable at the last health check. */
     public boolean unready;
-    /** Requests that it may get at once while it is warming up. */
+    /** Limits the requests sent to it while it is warming up. */
     public final TokenBucket slowStartTokens = new TokenBucket();
-    /** Loads in progress by its last report. */
+    /** Loads in progress according to its last report. */
     public double reportedLoads;
 
-    /** A worker of which nothing is known yet. */
+    /** Creates a worker without any history. */
     public Worker(String id, DecayTimes decayTimes) {
         this.id = id;
         this.responses = new DecayingSum(decayTimes.health());
@@ -75,28 +75,28 @@
         this.latencyRatio = new DecayingMean(decayTimes.latencyRatio(), 0, 0);
     }
 
-    /** Forgets that it did not prove to be ready: the endpoint list tells its state again. */
-    public void clearReadinessVerdict() {
+    /** Clears the results of failed health checks and refusals; called when the endpoint list is current again. */
+    public void clearReadinessFailures() {
         unreadyUntil = null;
         unready = false;
         clearRefusals();
     }
 
-    /** Forgets that it turned work away: it executed a request since, or the endpoint list tells its state again. */
+    /** Clears its refusals; called when it has executed a request since, or when the endpoint list is current again. */
     public void clearRefusals() {
         refusedAt = null;
-        refusalsInARow = 0;
+        consecutiveRefusals = 0;
         refusedUntil = null;
     }
 
-    /** Removes it from all cached lists. */
+    /** Removes the worker from the cached lists of all functions. */
     public void uncachePlacements() {
         for (Placement placement : placements) {
             placement.function.cachedPlacements.remove(placement);
         }
     }
 
-    /** Counts an ended attempt with its time over the time that it should take. */
+    /** Counts an ended attempt, with the ratio of its time to the typical time. */
     public void addResponse(MonotonicTime now, double timeRatio) {
         responses.add(now, 1);
         slowness.add(now, timeRatio);
@@ -115,8 +115,8 @@
         failures.clear();
     }
 
-    /** The worker left or is another process: it has no instances, and nothing that it reported holds. */
-    public void invalidatePlacements() {
+    /** Resets the state that ends with the worker's process: instances, health, ejection and responses. */
+    public void resetProcessState() {
         for (Placement placement : placements) {
             placement.instances = 0;
             placement.function.cachedPlacements.remove(placement);
@@ -124,12 +124,12 @@
         clearHealth();
         successes.clear();
         ejectedUntil = null;
-        lastHeardAt = null;
+        lastResponseAt = null;
         provedReadyAt = null;
         slowStartTokens.reset();
     }
 
-    /** Attempts in flight that were sent where an instance was assumed to be loaded. */
+    /** Returns the number of attempts in flight that were sent with an instance assumed to be loaded. */
     public int warmAttemptsInFlight() {
         return attemptsInFlight.size() - coldAttemptsInFlight;
     }
--- a/decisions/src/main/java/pearladder/routing/state/package-info.java
+++ b/decisions/src/main/java/pearladder/routing/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a routing policy keeps: workers, functions, requests and counts, with the upkeep that decides nothing. Tuned
- * values are not found here: they come as arguments from the policy.
+ * The state of a routing policy: workers, functions, requests and counts, and the code that keeps them up to date
+ * without making decisions. Tuned values are passed in by the policy.
  */
 package pearladder.routing.state;
