--- a/decisions/src/main/java/pearladder/routing/AdaptiveConcurrencyLimit.java
+++ b/decisions/src/main/java/pearladder/routing/AdaptiveConcurrencyLimit.java
@@ -10,21 +10,21 @@
 import pearladder.routing.state.RouterState;
 import pearladder.routing.state.Worker;
 
-/** How many requests of this router a worker takes at once, learnt from latencies and refusals. */
+/** Limits the concurrent requests of this router at each worker, adapted to latencies and refusals. */
 final class AdaptiveConcurrencyLimit {
-    /** How long a worker that refused as full is skipped and its limit not reduced again. */
+    /** How long a worker that refused as full is skipped, and the shortest time between two decreases. */
     static final TimeSpan OVERLOAD_PAUSE = TimeSpan.millis(300);
 
-    /** The initial limit, where routers are few. */
+    /** The initial limit, before it is scaled by the fair share. */
     static final double INITIAL_LIMIT = 4;
 
-    private static final double FEW_ROUTERS = 3; // more of them share what is meant for three
-    private static final double TARGET_LATENCY = 0.3; // of the latency objective
-    private static final double MAX_LATENCY_RATIO = 1.8; // to the target; above, no check exceeds the limit
-    private static final double MIN_DECREASE = 0.6;
-    private static final double MAX_DECREASE = 0.85;
-    private static final double PACE_INCREASE = 0.15; // relative, while the limit is below one
-    private static final int INCREASE_HEADROOM = 2; // the limit grows only when used up to here
+    private static final double FULL_SHARE_ROUTERS = 3; // more routers divide the share of three among them
+    private static final double TARGET_LATENCY_SHARE = 0.3; // of the latency objective
+    private static final double MAX_OVERCOMMIT_LATENCY_RATIO = 1.8; // to the target; above it, no overcommit
+    private static final double MIN_DECREASE_FACTOR = 0.6;
+    private static final double MAX_DECREASE_FACTOR = 0.85;
+    private static final double PACED_LIMIT_INCREASE = 0.15; // relative, while the limit is below one
+    private static final int INCREASE_HEADROOM = 2; // unused requests from which the limit stops growing
 
     private final RouterState state;
     private final ModelLoadLimiter loadLimiter;
@@ -36,44 +36,45 @@
         this.fairShare = fairShare(state.settings());
     }
 
-    /** Our part of what may be sent where routers are many and none sees the others' requests. */
+    /** Returns this router's share, up to 1, of what may be sent, as no router sees the others' requests. */
     static double fairShare(RoutingSettings settings) {
-        return Math.min(1, FEW_ROUTERS / settings.routerCount());
+        return Math.min(1, FULL_SHARE_ROUTERS / settings.routerCount());
     }
 
-    /** The limit as a check applies it: overcommitted where the check allows it and the worker is quick. */
+    /** Returns the limit that a check applies: overcommitted if the check permits and the worker is quick. */
     double limit(Worker worker, CapacityCheck check) {
-        return limit(worker) * (latencyRatio(worker) > MAX_LATENCY_RATIO ? 1 : check.overcommit);
+        return limit(worker) * (latencyRatio(worker) > MAX_OVERCOMMIT_LATENCY_RATIO ? 1 : check.overcommit);
     }
 
     private double limit(Worker worker) {
         return worker.concurrencyLimit > 0 ? worker.concurrencyLimit : INITIAL_LIMIT * fairShare;
     }
 
-    /** The mean latency of recent warm responses, in target latencies. */
+    /** Returns the mean ratio of the latency of recent warm responses to their target latency. */
     private double latencyRatio(Worker worker) {
         return worker.latencyRatio.weight(state.now()) <= 0 ? 0 : worker.latencyRatio.valueAt(state.now());
     }
 
-    // Below one request the limit is a pace: first the worker's, then the function's there, so that heavy
-    // functions leave and light ones stay. Past it a worker with an instance still takes the request while
-    // its warm responses are quicker than a load elsewhere is likely to be.
+    // A limit below one request spaces requests in time: all those to the worker for the strict check, only
+    // those of the function for the other checks, so that heavy functions move away and light ones stay. The
+    // other checks admit further requests if an instance is loaded and the worker's warm responses are
+    // quicker than the likely load elsewhere.
     boolean admits(Request request, Placement placement, CapacityCheck check, double limit) {
         Worker worker = placement.worker;
         MonotonicTime lastSentAt = check == CapacityCheck.STRICT ? worker.sentAt : placement.sentAt;
         if (limit >= 1 || lastSentAt == null) {
             return worker.warmAttemptsInFlight() + 1 <= Math.max(1, limit);
         }
-        if (placement.inFlight == 0 && isPaceKept(placement, lastSentAt, limit)) {
+        if (placement.inFlight == 0 && isPacingIntervalOver(placement, lastSentAt, limit)) {
             return true;
         }
-        double warmLatency = latencyRatio(worker) * TARGET_LATENCY * objectiveSeconds(request);
+        double warmLatency = latencyRatio(worker) * TARGET_LATENCY_SHARE * objectiveSeconds(request);
         return check != CapacityCheck.STRICT
                 && loadLimiter.hasAssumedInstance(placement)
                 && warmLatency < likelyLoadSeconds(placement);
     }
 
-    private boolean isPaceKept(Placement placement, MonotonicTime lastSentAt, double limit) {
+    private boolean isPacingIntervalOver(Placement placement, MonotonicTime lastSentAt, double limit) {
         TimeSpan requestTime = state.typicalTimes().requestTime(placement.function);
         return state.age(lastSentAt).times(limit).isLongerThan(requestTime);
     }
@@ -86,7 +87,7 @@
         return loadLimiter.coldLoadRatio() * state.typicalTimes().loadSeconds(placement.function);
     }
 
-    /** Adjusts the limit to the latency of a response from an instance that was already loaded. */
+    /** Adapts the limit to the latency of a response from an instance that was already loaded. */
     void onWarmResponse(Attempt attempt, double seconds) {
         Request request = attempt.request;
         Worker worker = attempt.placement.worker;
@@ -95,17 +96,17 @@
             weight *= request.workEstimate.toSeconds();
         }
         double weightedRatio = weight * seconds / objectiveSeconds(request);
-        worker.latencyRatio.addWeighted(state.now(), weightedRatio, weight * TARGET_LATENCY);
+        worker.latencyRatio.addWeighted(state.now(), weightedRatio, weight * TARGET_LATENCY_SHARE);
         if (latencyRatio(worker) > 1) {
-            double factor = Math.min(MAX_DECREASE, 1 / latencyRatio(worker));
-            decrease(worker, Math.max(MIN_DECREASE, factor));
+            double factor = Math.min(MAX_DECREASE_FACTOR, 1 / latencyRatio(worker));
+            decrease(worker, Math.max(MIN_DECREASE_FACTOR, factor));
         } else if (worker.warmAttemptsInFlight() + INCREASE_HEADROOM > limit(worker)) {
             double limit = limit(worker);
-            worker.concurrencyLimit = limit + (limit < 1 ? PACE_INCREASE * limit : fairShare / limit);
+            worker.concurrencyLimit = limit + (limit < 1 ? PACED_LIMIT_INCREASE * limit : fairShare / limit);
         }
     }
 
-    /** Reduces the limit to a factor of what is in use, unless it was reduced just before. */
+    /** Reduces the limit to the given factor of the part in use, unless it was reduced just before. */
     void decrease(Worker worker, double factor) {
         if (!state.isPending(worker.nextLimitReductionAt)) {
             double used = Math.min(limit(worker), worker.warmAttemptsInFlight() + 1);
--- a/decisions/src/main/java/pearladder/routing/AttemptOutcomeHandler.java
+++ b/decisions/src/main/java/pearladder/routing/AttemptOutcomeHandler.java
@@ -9,10 +9,11 @@
 import pearladder.routing.state.RouterState;
 import pearladder.routing.state.Worker;
 
-/** Draws conclusions from an ended attempt: on the instance, the worker's health and limit, and the loads. */
+/** Applies the result of an attempt to the placement, the worker's health and limit, and the load limiter. */
 final class AttemptOutcomeHandler {
-    private static final double REFUSAL_DECREASE = 0.7; // of the concurrency limit, by a refusal as full
-    private static final double NEEDLESS_REFUSAL = 0.5; // of a failure: the request wasn't executed
+    private static final double REFUSAL_DECREASE_FACTOR = 0.7; // of the concurrency limit
+    /** Weight of a needless refusal as a failure; below 1 because the request wasn't executed. */
+    private static final double NEEDLESS_REFUSAL_WEIGHT = 0.5;
 
     private final RouterState state;
     private final ModelLoadLimiter loadLimiter;
@@ -30,7 +31,7 @@
         this.outlierDetector = outlierDetector;
     }
 
-    /** Handles an attempt that is already counted as ended. */
+    /** Handles the end of an attempt that is no longer counted as in flight. */
     void onAttemptEnded(Attempt attempt, Event.AttemptEnded event) {
         WorkerLoadReport report = event.loadReport();
         if (report != null && !Double.isNaN(report.loadsInProgress())) {
@@ -86,11 +87,11 @@
         Worker worker = placement.worker;
         worker.lastResponseAt = state.now();
         if (isNeedlessRefusal(event)) {
-            worker.addFailure(state.now(), NEEDLESS_REFUSAL);
+            worker.addFailure(state.now(), NEEDLESS_REFUSAL_WEIGHT);
         } else {
             placement.overloadedUntil = state.now().plus(AdaptiveConcurrencyLimit.OVERLOAD_PAUSE);
             worker.overloadedUntil = placement.overloadedUntil;
-            concurrencyLimit.decrease(worker, REFUSAL_DECREASE);
+            concurrencyLimit.decrease(worker, REFUSAL_DECREASE_FACTOR);
             loadLimiter.onRefused(worker);
         }
     }
@@ -114,7 +115,7 @@
         attempt.placement.worker.addResponse(state.now(), outlierDetector.overdueRatio(attempt));
     }
 
-    /** Whether a worker refused as full that has capacity by its own report: a fault of the worker. */
+    /** Returns whether the worker refused as full but reported capacity, which is a fault of the worker. */
     static boolean isNeedlessRefusal(Event.AttemptEnded event) {
         WorkerLoadReport report = event.loadReport();
         return event.outcome() == Outcome.FULL
--- a/decisions/src/main/java/pearladder/routing/InstancePreloader.java
+++ b/decisions/src/main/java/pearladder/routing/InstancePreloader.java
@@ -11,21 +11,21 @@
 import pearladder.routing.state.RouterState;
 import pearladder.routing.state.Worker;
 
-/** Asks workers to load: renews instances in use, adds some where requests crowd, prewarms functions. */
+/** Sends load requests that renew instances in use, add instances where needed and prewarm functions. */
 final class InstancePreloader {
-    private static final double RENEWAL_SHARE = 0.55; // of the idle timeout: instances are renewed
-    private static final long MIN_REQUESTS = 2; // of a function, in all
+    private static final double RENEWAL_AGE_SHARE = 0.55; // of the idle timeout
+    private static final long MIN_TOTAL_REQUESTS = 2; // of a function since it became known
     private static final double MIN_RECENT_REQUESTS = 0.5;
-    private static final int MAX_INSTANCES = 4; // to which one is added where requests crowd
+    private static final int MAX_INSTANCES_PER_PLACEMENT = 4; // reached by adding where saturated
     private static final int MAX_REQUESTED_INSTANCES = 16; // by one load request
-    private static final double LOAD_TIMEOUT = 2; // typical load times for which a load request is awaited
-    private static final double PREWARM_QUOTA_SHARE = 0.5; // the rest is left for requests that are here
+    private static final double LOAD_TIMEOUT_FACTOR = 2; // in typical load times
+    private static final double PREWARM_QUOTA_SHARE = 0.5; // the rest is kept for admitted requests
 
     private final RouterState state;
     private final SlowStart slowStart;
     private final ModelLoadLimiter loadLimiter;
     private final ReadinessLease readinessLease;
-    private final boolean allowed;
+    private final boolean loadRequestsAccepted;
     private final TimeSpan renewalAge;
 
     InstancePreloader(RouterState state, SlowStart slowStart, ModelLoadLimiter loads, ReadinessLease lease) {
@@ -33,25 +33,25 @@
         this.slowStart = slowStart;
         this.loadLimiter = loads;
         this.readinessLease = lease;
-        this.allowed = state.settings().instances().acceptsLoadRequests();
-        this.renewalAge = state.settings().instances().idleTimeout().times(RENEWAL_SHARE);
+        this.loadRequestsAccepted = state.settings().instances().acceptsLoadRequests();
+        this.renewalAge = state.settings().instances().idleTimeout().times(RENEWAL_AGE_SHARE);
     }
 
-    /** Renews the instances in use and adds some where requests crowd, once a tick. */
+    /** Renews the instances in use and adds instances to saturated workers; called once a tick. */
     void maintainInstances() {
-        if (!allowed) {
+        if (!loadRequestsAccepted) {
             return;
         }
         for (Function function : state.functions()) {
             if (isInDemand(function)) {
                 renewIfDue(function.cachedPlacements.get(0));
-                function.cachedPlacements.forEach(this::addInstanceIfCrowded);
+                function.cachedPlacements.forEach(this::addInstanceIfSaturated);
             }
         }
     }
 
     private boolean isInDemand(Function function) {
-        return function.requestCount >= MIN_REQUESTS
+        return function.requestCount >= MIN_TOTAL_REQUESTS
                 && !function.cachedPlacements.isEmpty()
                 && function.recentRequests.valueAt(state.now()) >= MIN_RECENT_REQUESTS;
     }
@@ -63,13 +63,13 @@
         }
     }
 
-    private void addInstanceIfCrowded(Placement placement) {
+    private void addInstanceIfSaturated(Placement placement) {
         boolean awaited = isLoadAwaited(placement);
         int instances = loadLimiter.assumedInstances(placement);
-        boolean crowded = instances > 0
-                && instances < MAX_INSTANCES
+        boolean saturated = instances > 0
+                && instances < MAX_INSTANCES_PER_PLACEMENT
                 && placement.inFlight > placement.function.concurrency * instances;
-        if (crowded && !awaited && placement.worker.reportedLoads < 1 && loadLimiter.hasMemory(placement)) {
+        if (saturated && !awaited && placement.worker.reportedLoads < 1 && loadLimiter.hasMemory(placement)) {
             requestLoad(placement, instances + 1);
         }
     }
@@ -78,24 +78,24 @@
         if (placement.loadRequestedAt == null) {
             return false;
         }
-        TimeSpan timeout = state.typicalTimes().loadTime(placement.function).times(LOAD_TIMEOUT);
+        TimeSpan timeout = state.typicalTimes().loadTime(placement.function).times(LOAD_TIMEOUT_FACTOR);
         return !state.age(placement.loadRequestedAt).isLongerThan(timeout);
     }
 
-    /** Prewarms the functions for which that is wanted, once a tick. */
+    /** Prewarms the functions for which prewarming was requested; called once a tick. */
     void prewarmFunctions() {
         state.functions().stream().filter(function -> function.prewarmShare > 0).forEach(this::prewarm);
     }
 
-    // One load request at a time, within the same quota and load limit as any other, and only while a part of
-    // the quota is left. Instances that are loaded already are renewed.
+    // Loads one instance at a time, within the quota and load limit of all load requests, and only within the
+    // prewarming share of the quota. Instances that are already loaded are renewed.
     private void prewarm(Function function) {
         int loaded = countInstances(function);
         double wanted = wantedInstances(function, loaded);
-        boolean complete = !allowed || loaded >= wanted;
+        boolean complete = !loadRequestsAccepted || loaded >= wanted;
         double progress = complete ? 1 : loaded / wanted;
         state.emit(new Action.PrewarmProgress(function.id, function.prewarmShare * progress));
-        if (!allowed || !state.loadQuota().allows(state.now(), PREWARM_QUOTA_SHARE)) {
+        if (!loadRequestsAccepted || !state.loadQuota().allows(state.now(), PREWARM_QUOTA_SHARE)) {
             return;
         }
         boolean loading = false;
@@ -140,7 +140,7 @@
 
     /** Returns whether the load was requested. */
     private boolean requestLoad(Placement placement, int instances) {
-        if (!allowed
+        if (!loadRequestsAccepted
                 || !state.isEligible(placement.worker)
                 || !state.loadQuota().allows(state.now(), 1)
                 || !readinessLease.isHeldOrRequested(placement.worker)) {
--- a/decisions/src/main/java/pearladder/routing/OutlierDetector.java
+++ b/decisions/src/main/java/pearladder/routing/OutlierDetector.java
@@ -11,20 +11,20 @@
 import pearladder.routing.state.SeededRandom;
 import pearladder.routing.state.Worker;
 
-/** Ejects a worker for a while that fails, hangs or is slow in comparison with the others. */
+/** Temporarily ejects workers that fail, hang or are slow in comparison with the others. */
 final class OutlierDetector {
     private static final TimeSpan MIN_EJECTION = TimeSpan.seconds(3);
-    private static final TimeSpan RANDOM_EJECTION = TimeSpan.seconds(2); // on top: from none to this
+    private static final TimeSpan MAX_EJECTION_JITTER = TimeSpan.seconds(2); // added to the minimum
     private static final double MAX_EJECTED_SHARE = 0.4; // of the workers in service
-    private static final double MIN_RESPONSES = 8; // recent ones, for a verdict on slowness
-    private static final double MIN_FAILURES = 2; // recent ones, for a verdict on failures
+    private static final double MIN_RESPONSES = 8; // recent responses, to eject for slowness
+    private static final double MIN_FAILURES = 2; // recent failures, to eject for failures
     private static final double MIN_FAILURE_RATIO = 0.3;
     private static final double OUTLIER_FACTOR = 4; // times the median; also an attempt's overdue ratio
-    private static final int MIN_SILENT_ATTEMPTS = 3; // overdue, with no answer since: the worker hangs
+    private static final int MIN_SILENT_ATTEMPTS = 3; // overdue, without a response since: the worker hangs
     private static final double CANCEL_OVERDUE_RATIO = 1.5;
-    private static final double COLD_LOADS = 2; // typical load times granted where no instance was assumed
+    private static final double COLD_LOAD_ALLOWANCE = 2; // typical load times, if no instance was assumed
 
-    /** What a worker is judged by; the responses include overdue attempts in flight. */
+    /** Recent measures of a worker; the responses include overdue attempts in flight. */
     private record Health(Worker worker, double responses, double slowness, double failures) {
         double failureRatio() {
             return failures / Math.max(1, responses);
@@ -41,12 +41,12 @@
         this.random = random;
     }
 
-    /** Ejects outliers and cancels attempts that are stuck on ejected workers, once a tick. */
+    /** Ejects outliers and cancels overdue attempts on ejected workers; called once a tick. */
     void evaluate() {
         List<Health> fleet = new ArrayList<>();
         int ejected = 0;
         for (Worker worker : state.endpoints().contacted()) {
-            if (isJudged(worker)) {
+            if (isEvaluated(worker)) {
                 fleet.add(health(worker));
                 ejected += state.isPending(worker.ejectedUntil) ? 1 : 0;
             }
@@ -64,7 +64,7 @@
         }
     }
 
-    private boolean isJudged(Worker worker) {
+    private boolean isEvaluated(Worker worker) {
         return worker.responses.valueAt(state.now()) >= 1
                 || !worker.attemptsInFlight.isEmpty()
                 || state.isPending(worker.ejectedUntil);
@@ -104,7 +104,7 @@
 
     private void eject(Health health, double medianSlowness) {
         Worker worker = health.worker;
-        worker.ejectedUntil = state.now().plus(MIN_EJECTION).plus(RANDOM_EJECTION.times(random.next()));
+        worker.ejectedUntil = state.now().plus(MIN_EJECTION).plus(MAX_EJECTION_JITTER.times(random.next()));
         worker.uncachePlacements();
         int inFlight = worker.attemptsInFlight.size();
         state.log(
@@ -118,7 +118,7 @@
         return Median.of(fleet.stream().filter(health -> health.responses >= 1).mapToDouble(measure));
     }
 
-    /** Cancels what is stuck on an ejected worker and may be sent elsewhere. */
+    /** Cancels the overdue attempts on an ejected worker that may be retried at another one. */
     private void cancelOverdueAttempts(Worker worker) {
         for (Attempt attempt : worker.attemptsInFlight) {
             boolean overdue = !attempt.cancelled && overdueRatio(attempt) > CANCEL_OVERDUE_RATIO;
@@ -129,16 +129,20 @@
         }
     }
 
-    /** An attempt's age over the time that it should take, with a load unless the worker is silent. */
+    /**
+     * Returns the ratio of an attempt's age to the time allowed for it. That covers the request and a load;
+     * no load if an instance was assumed and the worker has been silent since.
+     */
     double overdueRatio(Attempt attempt) {
-        TimeSpan load = state.typicalTimes().loadTime(attempt.request.function).times(grantedLoads(attempt));
-        TimeSpan granted = state.typicalTimes().requestTime(attempt.request).plus(load);
-        return state.age(attempt.sentAt).dividedBy(granted);
+        TimeSpan allowedLoadTime =
+                state.typicalTimes().loadTime(attempt.request.function).times(allowedLoads(attempt));
+        TimeSpan allowedTime = state.typicalTimes().requestTime(attempt.request).plus(allowedLoadTime);
+        return state.age(attempt.sentAt).dividedBy(allowedTime);
     }
 
-    private static double grantedLoads(Attempt attempt) {
+    private static double allowedLoads(Attempt attempt) {
         if (!attempt.assumedWarm) {
-            return COLD_LOADS;
+            return COLD_LOAD_ALLOWANCE;
         }
         return attempt.isWorkerSilentSince() ? 0 : 1;
     }
--- a/decisions/src/main/java/pearladder/routing/ReadinessLease.java
+++ b/decisions/src/main/java/pearladder/routing/ReadinessLease.java
@@ -13,20 +13,20 @@
 import pearladder.routing.state.Worker;
 
 /**
- * Bounds how long a worker is believed to be in service. While discovery doesn't confirm the endpoint list, a
- * worker may drain without this router being told. Once the list is out of date, a worker gets new work only
- * under a lease: for a drain grace after it proved that it takes some, as it executed a request that was sent
- * then, or answered a health check that was sent then as ready. Leases: Gray and Cheriton, SOSP 1989.
+ * Bounds how long a worker is assumed to be in service. While discovery doesn't confirm the endpoint list, a
+ * worker may drain without this router learning of it. Once the list is out of date, a worker gets new work
+ * only under a lease. A lease lasts for the drain grace from the time at which a request was sent that the
+ * worker executed, or a health check that it answered as ready. Leases: Gray and Cheriton, SOSP 1989.
  */
 final class ReadinessLease {
-    /** The platform's shortest time after which an event counts as told that discovery could not tell. */
+    /** The platform's shortest time after which an event counts as known that discovery did not report. */
     private static final TimeSpan MAX_LIST_AGE = TimeSpan.seconds(2);
-    /** A worker that is not ready is asked again after this; one that drains ends, so there is no hurry. */
+    /** How long an unready worker is skipped; a draining one will end, so an early recheck gains nothing. */
     private static final TimeSpan UNREADY_PAUSE = TimeSpan.seconds(3);
-    /** Of the drain grace that may be kept for an attempt's way to its worker. */
+    /** Largest share of the drain grace that is reserved for the delay until an attempt is sent. */
     private static final double MAX_SEND_DELAY_SHARE = 0.5;
 
-    /** A worker that refused twice and executed nothing is skipped for this; twice as long next time. */
+    /** How long a worker is skipped after two refusals in a row; doubles with each further refusal. */
     private static final TimeSpan FIRST_REFUSAL_PAUSE = TimeSpan.seconds(1);
 
     private static final TimeSpan MAX_REFUSAL_PAUSE = TimeSpan.seconds(16);
@@ -34,34 +34,34 @@
     private record WaitingRequest(Request request, Worker worker, MonotonicTime waitsUntil) {}
 
     private final RouterState state;
-    private final boolean checksAllowed;
-    private final TimeSpan grace;
+    private final boolean healthChecksAllowed;
+    private final TimeSpan drainGrace;
     private final TimeSpan sendDelay;
-    private final TimeSpan checkPatience;
+    private final TimeSpan healthCheckTimeout;
     private final int maxWaits;
     private final List<WaitingRequest> waitingRequests = new ArrayList<>();
-    /** Whether discovery is to confirm the list; where it is not, the list is believed for ever. */
+    /** Whether discovery reports confirmations of the list; otherwise the list always counts as current. */
     private boolean confirmationExpected;
-    /** Up to when the list is known to be complete; null where it never was. */
+    /** The latest time up to which the list was confirmed to be complete; null if it never was. */
     private MonotonicTime listConfirmedAt;
 
     private boolean outOfDateLogged;
 
     ReadinessLease(RouterState state) {
         this.state = state;
-        this.checksAllowed = state.settings().attemptLimits().probes();
-        this.grace = state.settings().responseGrace().drainGrace();
-        this.sendDelay = state.settings().maxSendDelay().atMost(grace.times(MAX_SEND_DELAY_SHARE));
-        this.checkPatience = state.settings().attemptLimits().connectTimeout();
+        this.healthChecksAllowed = state.settings().attemptLimits().probes();
+        this.drainGrace = state.settings().responseGrace().drainGrace();
+        this.sendDelay = state.settings().maxSendDelay().atMost(drainGrace.times(MAX_SEND_DELAY_SHARE));
+        this.healthCheckTimeout = state.settings().attemptLimits().connectTimeout();
         this.maxWaits = state.settings().attemptLimits().maxAttempts();
     }
 
-    /** The list counts as out of date until discovery confirms it. */
+    /** Treats the endpoint list as out of date until discovery confirms it. */
     void onListUnconfirmed() {
         confirmationExpected = true;
     }
 
-    /** The list is complete up to a moment. */
+    /** Records that the endpoint list is complete up to the given time. */
     void onListConfirmed(MonotonicTime asOf) {
         confirmationExpected = true;
         if (listConfirmedAt == null || listConfirmedAt.isBefore(asOf)) {
@@ -77,7 +77,7 @@
                 || listConfirmedAt != null && !state.age(listConfirmedAt).isLongerThan(MAX_LIST_AGE);
     }
 
-    /** Logs when the list gets out of date, and when it is current again; once a tick. */
+    /** Logs when the endpoint list becomes out of date or current again; called once a tick. */
     void evaluate() {
         boolean outOfDate = !isListCurrent();
         if (outOfDate != outOfDateLogged) {
@@ -86,45 +86,45 @@
         }
     }
 
-    /** New work must have been sent to the worker by then; null where nothing bounds it. */
+    /** Returns the time by which new work must have been sent to the worker; null for no bound. */
     MonotonicTime sendBefore(Worker worker) {
         if (!confirmationExpected) {
             return null;
         }
-        MonotonicTime provenAt = worker.provedReadyAt;
-        MonotonicTime listedUntil = listConfirmedAt == null ? null : listConfirmedAt.plus(MAX_LIST_AGE);
-        MonotonicTime believedUntil = later(provenAt, listedUntil);
-        return believedUntil == null ? state.now() : believedUntil.plus(grace);
+        MonotonicTime provedReadyAt = worker.provedReadyAt;
+        MonotonicTime listCurrentUntil = listConfirmedAt == null ? null : listConfirmedAt.plus(MAX_LIST_AGE);
+        MonotonicTime knownReadyUntil = later(provedReadyAt, listCurrentUntil);
+        return knownReadyUntil == null ? state.now() : knownReadyUntil.plus(drainGrace);
     }
 
-    private static MonotonicTime later(MonotonicTime one, MonotonicTime other) {
-        if (one == null || other == null) {
-            return one == null ? other : one;
+    private static MonotonicTime later(MonotonicTime first, MonotonicTime second) {
+        if (first == null || second == null) {
+            return first == null ? second : first;
         }
-        return one.isBefore(other) ? other : one;
+        return first.isBefore(second) ? second : first;
     }
 
-    /** Whether new work that is decided now reaches the worker within its lease. */
+    /** Returns whether a request assigned now is sent to the worker within its lease. */
     boolean isHeldBy(Worker worker) {
         MonotonicTime sendBefore = sendBefore(worker);
         return sendBefore == null || state.now().plus(sendDelay).isBefore(sendBefore);
     }
 
-    /** Whether the worker holds a lease or may be asked for one. */
+    /** Returns whether the worker holds a lease or may obtain one by a health check. */
     boolean isObtainable(Worker worker) {
-        return checksAllowed || isHeldBy(worker);
+        return healthChecksAllowed || isHeldBy(worker);
     }
 
-    /** Whether the worker holds a lease; asks it where it doesn't, so that it may hold one a moment later. */
+    /** Returns whether the worker holds a lease; if not, starts a health check so that it may obtain one. */
     boolean isHeldOrRequested(Worker worker) {
         boolean held = isHeldBy(worker);
-        if (!held && checksAllowed) {
-            requestCheck(worker);
+        if (!held && healthChecksAllowed) {
+            requestHealthCheck(worker);
         }
         return held;
     }
 
-    private void requestCheck(Worker worker) {
+    private void requestHealthCheck(Worker worker) {
         if (worker.checkSentAt == null) {
             worker.checkSentAt = state.now();
             state.emit(new Action.CheckHealth(worker.id));
@@ -132,34 +132,34 @@
     }
 
     /**
-     * Has a request wait until its worker has proved that it is ready.
+     * Makes a request wait until its worker has proved that it is ready.
      *
-     * @return for how long at the most; null where it has waited often enough
+     * @return the longest wait; null if the request has already waited the maximum number of times
      */
     TimeSpan await(Request request, Worker worker) {
         if (++request.readinessWaits > maxWaits) {
             return null;
         }
-        requestCheck(worker);
-        TimeSpan wait = checkPatience.atMost(state.timeLeft(request).times(1.0 / (1 + maxWaits)));
+        requestHealthCheck(worker);
+        TimeSpan wait = healthCheckTimeout.atMost(state.timeLeft(request).times(1.0 / (1 + maxWaits)));
         waitingRequests.add(new WaitingRequest(request, worker, state.now().plus(wait)));
         return wait;
     }
 
-    /** The requests that have waited long enough, oldest first; their silent workers are skipped. */
+    /** Removes and returns the requests whose wait is over, oldest first; skips workers without a lease. */
     List<Request> takeOverdueRequests() {
-        List<Request> overdue = new ArrayList<>();
+        List<Request> overdueRequests = new ArrayList<>();
         waitingRequests.removeIf(waiting -> {
             boolean due = !state.now().isBefore(waiting.waitsUntil());
             if (due && !isHeldBy(waiting.worker())) {
                 waiting.worker().unreadyUntil = state.now().plus(UNREADY_PAUSE);
             }
-            return due && addOpen(overdue, waiting);
+            return due && addIfOpen(overdueRequests, waiting);
         });
-        return overdue;
+        return overdueRequests;
     }
 
-    /** Takes a health check's result into account; returns the requests that waited for it. */
+    /** Applies the result of a health check and returns the requests that waited for it. */
     List<Request> onHealthCheckCompleted(Worker worker, Event.HealthCheckCompleted event) {
         worker.checkSentAt = null;
         if (event.outcome() == Outcome.SUCCESS) {
@@ -167,23 +167,23 @@
         } else {
             onUnready(worker, event.outcome());
         }
-        List<Request> waited = new ArrayList<>();
-        waitingRequests.removeIf(waiting -> waiting.worker() == worker && addOpen(waited, waiting));
-        return waited;
+        List<Request> waitedRequests = new ArrayList<>();
+        waitingRequests.removeIf(waiting -> waiting.worker() == worker && addIfOpen(waitedRequests, waiting));
+        return waitedRequests;
     }
 
-    private static boolean addOpen(List<Request> requests, WaitingRequest waiting) {
+    private static boolean addIfOpen(List<Request> requests, WaitingRequest waiting) {
         if (!waiting.request().completed) {
             requests.add(waiting.request());
         }
         return true;
     }
 
-    private void onProvedReady(Worker worker, MonotonicTime at) {
-        worker.provedReadyAt = later(worker.provedReadyAt, at);
+    private void onProvedReady(Worker worker, MonotonicTime provedAt) {
+        worker.provedReadyAt = later(worker.provedReadyAt, provedAt);
         worker.unreadyUntil = null;
         if (worker.unready) {
-            // what drained or wasn't there comes back as a new process, which is cold
+            // a worker that drained or was unreachable returns as a new process without loaded instances
             worker.unready = false;
             state.endpoints().assumeRestarted(worker, state.now());
             state.log("%s is ready again: taken for restarted", worker.id);
@@ -200,7 +200,7 @@
         state.log("%s did not prove to be ready: %s", worker.id, outcome);
     }
 
-    /** A worker that executed a request was in service when that was sent; one that refused may drain. */
+    /** Renews the lease if the worker executed the request and so was in service; ends it on a refusal. */
     void onAttemptEnded(Attempt attempt, Event.AttemptEnded event) {
         Worker worker = attempt.placement.worker;
         if (event.outcome() == Outcome.SUCCESS) {
@@ -220,10 +220,11 @@
     }
 
     /**
-     * A worker that drains may answer health checks as ready and turn all work away. While nobody tells its
-     * state, a health check alone does not have it tried again and again.
+     * Ends the worker's lease and, while the endpoint list is out of date, skips a worker that refuses
+     * repeatedly. A draining worker may answer health checks as ready and still refuse all work, so
+     * successful health checks alone must not cause repeated attempts.
      *
-     * @param needless whether it has capacity by its own report
+     * @param needless whether the worker has capacity according to its load report
      */
     private void onRefused(Worker worker, boolean needless) {
         worker.provedReadyAt = null;
--- a/decisions/src/main/java/pearladder/routing/RetryPolicy.java
+++ b/decisions/src/main/java/pearladder/routing/RetryPolicy.java
@@ -11,10 +11,10 @@
 import pearladder.routing.state.RouterState;
 import pearladder.routing.state.Worker;
 
-/** Decides what may be sent again, where, and how much of that in all. */
+/** Decides which requests may be retried, at which workers, and within which retry budget. */
 final class RetryPolicy {
-    private static final double BUDGET_SHARE = 0.2; // retries for each recent request,
-    private static final double BUDGET_MIN = 3; // and so many on top
+    private static final double BUDGET_SHARE = 0.2; // retries per recent request
+    private static final double BUDGET_BASE = 3; // retries allowed in addition to the share
 
     private final RouterState state;
     private final AttemptLimits limits;
@@ -36,7 +36,7 @@
         recentRetries.add(state.now(), exemptFromBudget ? 0 : 1);
     }
 
-    /** Whether the client may be told to try again, as a repeat would be harmless. */
+    /** Returns whether the request may be rejected, as a retry by the client would be harmless. */
     boolean mayReject(Request request) {
         RequestClass requestClass = request.requestClass;
         return requestClass.idempotency() == Idempotency.RETRIABLE
@@ -45,7 +45,7 @@
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
-    /** Whether the worker may be sent the request, in view of the earlier attempts. */
+    /** Returns whether the earlier attempts permit sending the request to the worker. */
     boolean maySendTo(Request request, Worker worker) {
         Attempt executed = request.firstPossiblyExecuted();
         Idempotency idempotency = request.requestClass.idempotency();
@@ -55,7 +55,7 @@
         return idempotency == Idempotency.FINGERPRINTED && isDeduplicated(executed, worker);
     }
 
-    /** Whether the worker would still recognise a repeat of the attempt when that arrives. */
+    /** Returns whether the worker would still recognise a repeat of the attempt on arrival. */
     private boolean isDeduplicated(Attempt executed, Worker worker) {
         RequestClass requestClass = executed.request.requestClass;
         Worker first = executed.placement.worker;
@@ -79,11 +79,11 @@
     }
 
     private boolean isWithinBudget() {
-        double budget = BUDGET_MIN + BUDGET_SHARE * recentRequests.valueAt(state.now());
+        double budget = BUDGET_BASE + BUDGET_SHARE * recentRequests.valueAt(state.now());
         return recentRetries.valueAt(state.now()) < budget;
     }
 
-    /** Whether an attempt of the request may be cancelled in order to send it elsewhere. */
+    /** Returns whether an attempt of the request may be cancelled and retried at another worker. */
     boolean mayCancelAndRetry(Request request) {
         return limits.cancel()
                 && !request.completed
--- a/decisions/src/main/java/pearladder/routing/SlowStart.java
+++ b/decisions/src/main/java/pearladder/routing/SlowStart.java
@@ -4,22 +4,22 @@
 import pearladder.routing.state.RouterState;
 import pearladder.routing.state.Worker;
 
-/** Limits the rate of requests to a worker that has just started to our part of what it can take. */
+/** Limits the rate of requests to a worker that has just started to this router's share of its capacity. */
 final class SlowStart {
-    private static final double MARGIN = 0.6; // of the rate at which a warming worker would be overloaded
+    private static final double SAFE_RATE_SHARE = 0.6; // of the rate that would overload a warming worker
     private static final double INITIAL_TOKENS = 0.5;
-    private static final double BURST_SHARE = 0.5; // of the requests that overload a worker, sent at once
+    private static final double BURST_SHARE = 0.5; // of the requests allowed within the overload time
 
     private final RouterState state;
     private final SlowStartSettings settings;
-    private double successesPerSecond; // mean over the warm workers
+    private double meanWarmSuccessesPerSecond; // of workers not warming up
 
     SlowStart(RouterState state) {
         this.state = state;
         this.settings = state.settings().slowStart();
     }
 
-    /** Updates the mean rate at warm workers, once a tick. */
+    /** Updates the mean rate of successes at warm workers; called once a tick. */
     void evaluate() {
         state.endpoints().warmingUp().removeIf(worker -> !isWarmingUp(worker));
         double total = state.endpoints().contacted().stream()
@@ -27,14 +27,14 @@
                 .mapToDouble(worker -> worker.successes.perSecond(state.now()))
                 .sum();
         int warm = state.workerCount() - state.endpoints().warmingUp().size();
-        successesPerSecond = total / Math.max(1, warm);
+        meanWarmSuccessesPerSecond = total / Math.max(1, warm);
     }
 
     boolean isWarmingUp(Worker worker) {
         return worker.startedAt != null && settings.warmUpTime().isLongerThan(state.age(worker.startedAt));
     }
 
-    /** Whether the worker may be sent a request now; tops up its tokens. */
+    /** Refills the worker's tokens and returns whether it may be sent a request now. */
     boolean admits(Worker worker) {
         if (!isWarmingUp(worker)) {
             return true;
@@ -49,7 +49,7 @@
         double progress = state.age(worker.startedAt).dividedBy(settings.warmUpTime());
         double initialShare = settings.initialCapacityShare();
         double capacityShare = initialShare + (1 - initialShare) * Math.max(0, progress);
-        return MARGIN * settings.overloadFactor() * capacityShare * successesPerSecond;
+        return SAFE_RATE_SHARE * settings.overloadFactor() * capacityShare * meanWarmSuccessesPerSecond;
     }
 
     void onAttemptSent(Worker worker) {
--- a/decisions/src/main/java/pearladder/routing/StickyFirstFitPolicy.java
+++ b/decisions/src/main/java/pearladder/routing/StickyFirstFitPolicy.java
@@ -21,16 +21,18 @@
 import pearladder.routing.state.Worker;
 
 /**
- * All decisions of one router: sticky first fit, with the mechanisms that the package description explains.
+ * The routing policy of one router: sticky first fit, with the mechanisms that the package explains.
  *
- * <p>It reads no clock and shares nothing with other instances; it is called on one thread.
+ * <p>It reads no clock and shares nothing with other instances. It must be called on one thread.
  */
 public final class StickyFirstFitPolicy extends EventDrivenPolicy {
-    private static final TimeSpan TICK = TimeSpan.millis(100);
+    private static final TimeSpan TICK_INTERVAL = TimeSpan.millis(100);
     private static final String TICK_TIMER = "beat";
     private static final String ENDPOINTS_TIMER = "list";
     private static final String READINESS_TIMER = "readiness";
-    private static final TimeSpan ENDPOINTS_RETRY = TimeSpan.millis(200); // to twice that, at random
+    /** Shortest delay before the watch is restarted; a random part of up to the same length is added. */
+    private static final TimeSpan MIN_ENDPOINTS_RETRY_DELAY = TimeSpan.millis(200);
+
     private static final TimeSpan HEALTH_DECAY = TimeSpan.seconds(3);
     private static final TimeSpan RATE_DECAY = TimeSpan.seconds(5);
     private static final TimeSpan LATENCY_RATIO_DECAY = TimeSpan.seconds(1);
@@ -42,29 +44,34 @@
             new DecayTimes(HEALTH_DECAY, RATE_DECAY, LATENCY_RATIO_DECAY, DEMAND_DECAY);
     private static final TypicalTimes.Priors TIME_PRIORS =
             new TypicalTimes.Priors(INITIAL_REQUEST_SECONDS, FUNCTION_PRIOR_WEIGHT, INITIAL_LOAD_SECONDS);
-    private static final int VIRTUAL_NODES = 64; // of each worker on the ring
+    private static final int VIRTUAL_NODES_PER_WORKER = 64;
     private static final int MAX_CACHED_WORKERS = 4; // of a function
-    /** In ring order, for a request: a fleet of which so many have no capacity is overloaded. */
+    /** Workers examined in ring order for a request; if none has capacity, the fleet counts as overloaded. */
     static final int MAX_EXAMINED_WORKERS = 256;
 
-    private static final double SPARE_ATTEMPTS = 1; // beside the mean in flight on a worker
-    private static final TimeSpan HEARD_WITHIN = TimeSpan.seconds(5); // else a worker counts as the mean
-    private static final double FORGOTTEN_REQUESTS = 0.01; // decayed, below which a function is dropped
-    private static final double SEND_QUANTA = 2; // left of the deadline for the response
+    private static final double IN_FLIGHT_MARGIN = 1; // added to the mean number in flight on a worker
+    /** A worker that has been silent for longer is assumed to have at least the mean attempts in flight. */
+    private static final TimeSpan MAX_RESPONSE_AGE = TimeSpan.seconds(5);
+
+    private static final double MAX_UNUSED_FUNCTION_REQUESTS = 0.01; // decayed count of recent requests
+    private static final double RESPONSE_RESERVE_QUANTA = 2; // of the time left, reserved for the response
     private static final TimeSpan MIN_TIMEOUT = new TimeSpan(1);
-    private static final double RETRY_AFTER_REQUESTS = 2; // typical request times
+    private static final double RETRY_AFTER_REQUEST_TIMES = 2;
 
-    /** How strictly capacity is judged: in mean attempts in flight on a worker, and in concurrency limits. */
+    /**
+     * How strictly capacity is checked: the largest ratio of a worker's attempts in flight to the mean, and
+     * the factor by which its concurrency limit may be exceeded.
+     */
     enum CapacityCheck {
         STRICT(1.5, 1),
         PACED(1.5, 1),
         RELAXED(3, 2.5);
 
-        final double maxOverMean;
+        final double maxMeanRatio;
         final double overcommit;
 
-        CapacityCheck(double maxOverMean, double overcommit) {
-            this.maxOverMean = maxOverMean;
+        CapacityCheck(double maxMeanRatio, double overcommit) {
+            this.maxMeanRatio = maxMeanRatio;
             this.overcommit = overcommit;
         }
     }
@@ -84,7 +91,7 @@
 
     /** @param seed selects the sequence of random draws */
     public StickyFirstFitPolicy(long seed, RoutingSettings settings) {
-        this(seed, new RouterState(settings, DECAY_TIMES, TIME_PRIORS, VIRTUAL_NODES));
+        this(seed, new RouterState(settings, DECAY_TIMES, TIME_PRIORS, VIRTUAL_NODES_PER_WORKER));
     }
 
     private StickyFirstFitPolicy(long seed, RouterState state) {
@@ -105,7 +112,7 @@
 
     @Override
     protected void onStart() {
-        state.emit(new Action.SetTimer(state.now().plus(TICK), TICK_TIMER));
+        state.emit(new Action.SetTimer(state.now().plus(TICK_INTERVAL), TICK_TIMER));
         if (settings.discovery().polled()) {
             state.emit(new Action.WatchEndpoints(true));
         }
@@ -129,7 +136,7 @@
     }
 
     private void onTick() {
-        state.emit(new Action.SetTimer(state.now().plus(TICK), TICK_TIMER));
+        state.emit(new Action.SetTimer(state.now().plus(TICK_INTERVAL), TICK_TIMER));
         readinessLease.evaluate();
         outlierDetector.evaluate();
         slowStart.evaluate();
@@ -137,29 +144,29 @@
         instancePreloader.maintainInstances();
         instancePreloader.prewarmFunctions();
         state.functions().forEach(function -> function.cachedPlacements.removeIf(this::isUnused));
-        state.removeFunctionsIf(this::isForgotten);
+        state.removeFunctionsIf(this::isRemovable);
     }
 
     private boolean isUnused(Placement placement) {
         return placement.inFlight == 0 && loadLimiter.assumedInstances(placement) == 0;
     }
 
-    private boolean isHeld(Placement placement) {
+    private boolean isInUse(Placement placement) {
         return placement.inFlight + loadLimiter.assumedInstances(placement) > 0;
     }
 
-    /** Unused functions are dropped, as those that are called only once would pile up. */
-    private boolean isForgotten(Function function) {
-        return function.recentRequests.valueAt(state.now()) <= FORGOTTEN_REQUESTS
+    /** Returns whether a function is unused; functions that are called only once must not accumulate. */
+    private boolean isRemovable(Function function) {
+        return function.recentRequests.valueAt(state.now()) <= MAX_UNUSED_FUNCTION_REQUESTS
                 && function.prewarmShare <= 0
                 && function.cachedPlacements.isEmpty()
-                && function.placements.values().stream().noneMatch(this::isHeld);
+                && function.placements.values().stream().noneMatch(this::isInUse);
     }
 
     @Override
     protected void onEndpointsUpdated(Event.EndpointsUpdated update) {
         if (update.kind() == Event.EndpointUpdateKind.FAILED) {
-            TimeSpan delay = ENDPOINTS_RETRY.times(1 + random.next());
+            TimeSpan delay = MIN_ENDPOINTS_RETRY_DELAY.times(1 + random.next());
             state.emit(new Action.SetTimer(state.now().plus(delay), ENDPOINTS_TIMER));
         } else {
             state.endpoints().apply(update, slowStart::isWarmingUp);
@@ -223,9 +230,9 @@
         }
     }
 
-    /** Sends the request to the first worker with capacity, once that is known to be ready, or answers. */
+    /** Sends the request to the first worker with capacity, once that holds a lease; else answers it. */
     private void assign(Request request, Worker avoided) {
-        Placement placement = choose(request, avoided);
+        Placement placement = choosePlacement(request, avoided);
         if (placement == null) {
             answer(request);
         } else if (readinessLease.isHeldBy(placement.worker)) {
@@ -245,8 +252,11 @@
         }
     }
 
-    /** Cached workers, then all; where workers take load requests, rather a relaxed check than a load. */
-    private Placement choose(Request request, Worker avoided) {
+    /**
+     * Chooses among the cached workers, then among all. Where workers accept load requests, a cached worker
+     * that passes a relaxed check is preferred to a worker that may have to load the function.
+     */
+    private Placement choosePlacement(Request request, Worker avoided) {
         Placement placement = chooseCached(request, avoided, CapacityCheck.STRICT);
         if (placement == null) {
             placement = chooseCached(request, avoided, CapacityCheck.PACED);
@@ -284,16 +294,16 @@
         placement.function.cache(placement, MAX_CACHED_WORKERS);
     }
 
-    /** Capacity for the function there, and the worker's attempts in flight against the fleet's mean. */
-    private boolean hasCapacity(Request request, Placement placement, CapacityCheck wantedCheck) {
+    /** Returns whether the worker has capacity for the request and all mechanisms admit it there. */
+    private boolean hasCapacity(Request request, Placement placement, CapacityCheck requestedCheck) {
         Worker worker = placement.worker;
         if (!state.isAvailable(placement) || !hasInstanceCapacity(placement)) {
             return false;
         }
-        CapacityCheck check = hasCachedInstance(placement.function) ? wantedCheck : CapacityCheck.RELAXED;
-        double mean = state.meanAttemptsInFlight();
+        CapacityCheck check = hasCachedInstance(placement.function) ? requestedCheck : CapacityCheck.RELAXED;
+        double meanInFlight = state.meanAttemptsInFlight();
         double limit = concurrencyLimit.limit(worker, check);
-        return assumedInFlight(worker, mean) <= check.maxOverMean * (mean + SPARE_ATTEMPTS)
+        return assumedInFlight(worker, meanInFlight) <= check.maxMeanRatio * (meanInFlight + IN_FLIGHT_MARGIN)
                 && concurrencyLimit.admits(request, placement, check, limit)
                 && retryPolicy.maySendTo(request, worker)
                 && slowStart.admits(worker)
@@ -310,11 +320,12 @@
         return function.cachedPlacements.stream().anyMatch(loadLimiter::hasAssumedInstance);
     }
 
-    private double assumedInFlight(Worker worker, double mean) {
-        MonotonicTime heardAt = worker.lastResponseAt;
-        boolean heard = heardAt != null && !state.age(heardAt).isLongerThan(HEARD_WITHIN);
+    private double assumedInFlight(Worker worker, double meanInFlight) {
+        MonotonicTime lastResponseAt = worker.lastResponseAt;
+        boolean respondedRecently =
+                lastResponseAt != null && !state.age(lastResponseAt).isLongerThan(MAX_RESPONSE_AGE);
         int inFlight = worker.attemptsInFlight.size();
-        return heard ? inFlight : Math.max(inFlight, mean);
+        return respondedRecently ? inFlight : Math.max(inFlight, meanInFlight);
     }
 
     private void send(Request request, Placement placement) {
@@ -322,13 +333,13 @@
         loadLimiter.onAttemptSent(placement);
         state.addAttempt(new Attempt(request, placement, state.now(), assumedWarm));
         slowStart.onAttemptSent(placement.worker);
-        TimeSpan reserve = settings.quantum().times(SEND_QUANTA);
-        TimeSpan timeout = state.timeLeft(request).minus(reserve).atLeast(MIN_TIMEOUT);
+        TimeSpan responseReserve = settings.quantum().times(RESPONSE_RESERVE_QUANTA);
+        TimeSpan timeout = state.timeLeft(request).minus(responseReserve).atLeast(MIN_TIMEOUT);
         MonotonicTime sendBefore = readinessLease.sendBefore(placement.worker);
         state.emit(new Action.SendAttempt(request.id, placement.worker.id, timeout, sendBefore));
     }
 
-    /** The final answer where no attempt succeeded: a rejection where trying again is harmless. */
+    /** Gives the final answer if no attempt succeeded: a rejection if a retry is harmless, else a failure. */
     private void answer(Request request) {
         if (request.completed || request.streaming) {
             return;
@@ -342,7 +353,7 @@
     }
 
     private TimeSpan retryAfter(Function function) {
-        TimeSpan pause = state.typicalTimes().requestTime(function).times(RETRY_AFTER_REQUESTS);
+        TimeSpan pause = state.typicalTimes().requestTime(function).times(RETRY_AFTER_REQUEST_TIMES);
         TimeSpan bounded = pause.atMost(settings.attemptLimits().maxRetryAfter());
         return settings.attemptLimits().retryAfter() ? bounded : TimeSpan.ZERO;
     }
