--- a/decisions/src/main/java/pearladder/routing/api/Event.java
+++ b/decisions/src/main/java/pearladder/routing/api/Event.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import pearladder.routing.state.PolicySnapshot;
 
-/** What happened. Ids are the caller's; those that are unknown or no longer known are ignored. */
+/** An event that the policy handles. Ids are the caller's; events with an unknown id are ignored. */
 public sealed interface Event {
-    /** A worker's state by the endpoint list. */
+    /** The state of a worker in the endpoint list. */
     enum EndpointState {
         IN_SERVICE,
         DRAINING,
         GONE
     }
 
-    /** What an update holds: changes, all workers, all as of an earlier time, or nothing as it failed. */
+    /** The content of an update: changes, all workers, all workers as of an earlier time, or none on a failure. */
     enum EndpointUpdateKind {
         DELTA,
         SNAPSHOT,
@@ -20,7 +20,7 @@
         FAILED
     }
 
-    /** A worker as the endpoint list states it; startedAt is null when it has run for long. */
+    /** A worker in the endpoint list; {@code startedAt} is null if its process has run for long. */
     record Endpoint(
             String worker,
             String zone,
@@ -30,19 +30,22 @@
             double weight,
             MonotonicTime startedAt) {}
 
-    /** The endpoint list was read, or could not be. */
+    /** The endpoint list was read, or reading it failed. */
     record EndpointsUpdated(EndpointUpdateKind kind, List<Endpoint> endpoints) implements Event {}
 
-    /** Discovery was heard: the endpoint list holds all that it had to tell up to a moment. */
+    /** Discovery has confirmed that the endpoint list contains all changes up to the given time. */
     record EndpointListConfirmed(MonotonicTime asOf) implements Event {}
 
     /**
-     * The endpoint list may lack what discovery has told, until it is confirmed. Reported at the start by routers that
-     * report confirmations; for others the list counts as complete at all times.
+     * The endpoint list may lack changes until it is confirmed. Routers that report confirmations report this event at
+     * their start; for other routers the list always counts as complete.
      */
     record EndpointListUnconfirmed() implements Event {}
 
-    /** A request; typicalLoadTime and workEstimate are null where they are not stated, tenant where there are none. */
+    /**
+     * A request has arrived; {@code typicalLoadTime} and {@code workEstimate} are null if not stated, {@code tenant} is
+     * null if there are no tenants.
+     */
     record RequestArrived(
             String requestId,
             String function,
@@ -57,10 +60,10 @@
             boolean write)
             implements Event {}
 
-    /** The first part of a streamed response has been passed on. */
+    /** The first part of a streamed response has been forwarded to the client. */
     record StreamStarted(String requestId, int attempt, String worker, TimeSpan elapsed) implements Event {}
 
-    /** How the request found its instance, as a response reports it. */
+    /** The state of the instance when the request reached it, as reported in the response. */
     enum InstanceStatus {
         UNTOLD,
         STOOD,
@@ -69,7 +72,7 @@
         LOAD_FAILED
     }
 
-    /** An attempt ended; requestCompleted says that its request has its final answer too. */
+    /** An attempt has ended; {@code requestCompleted} states whether its request also has its final answer. */
     record AttemptEnded(
             String requestId,
             int attempt,
@@ -82,20 +85,21 @@
             WorkerLoadReport loadReport)
             implements Event {}
 
-    /** The client no longer waits for the response. */
+    /** The client has disconnected before the response. */
     record ClientDisconnected(String requestId) implements Event {}
 
-    /** A probe ended. */
+    /** A health check has ended. */
     record HealthCheckCompleted(String worker, Outcome outcome, TimeSpan elapsed, WorkerLoadReport loadReport)
             implements Event {}
 
-    /** A worker answered a load request: so many instances are loaded there now. */
+    /** A load request has ended; {@code instances} is the number of instances now loaded on the worker. */
     record LoadCompleted(String worker, String function, Outcome outcome, int instances, TimeSpan elapsed)
             implements Event {}
 
     /**
-     * Instances of a function are to be loaded before its requests, for a share of the load that the instances of a
-     * reference function bear now. With itself as reference, the loaded ones are only renewed. A share of 0 ends it.
+     * Instances of a function have to be loaded ahead of its requests, for a share of the present load of a reference
+     * function's instances. If the function is its own reference, its loaded instances are only renewed. A share of 0
+     * ends the prewarming.
      */
     record PrewarmRequested(
             String function,
@@ -106,16 +110,19 @@
             TimeSpan typicalLoadTime)
             implements Event {}
 
-    /** What of an earlier process is still valid; reported after the cached endpoint list, before the first request. */
+    /**
+     * The still valid part of an earlier process's snapshot; reported after the cached endpoint list and before the
+     * first request.
+     */
     record SnapshotRestored(PolicySnapshot snapshot) implements Event {}
 
-    /** A timer that the policy set is due. */
+    /** A timer that the policy has set is due. */
     record TimerFired(String tag) implements Event {}
 
-    /** Another router sent a text. */
+    /** Another router has sent a text. */
     record GossipReceived(int peer, String text) implements Event {}
 
-    /** A worker's own report; a value that is not reported is NaN. */
+    /** A worker's report of its load; values that are not reported are NaN. */
     record WorkerLoadReport(
             double outstanding, double backlog, double utilization, double loadsInProgress, double memoryInUseShare) {}
 }
--- a/decisions/src/main/java/pearladder/routing/api/MonotonicTime.java
+++ b/decisions/src/main/java/pearladder/routing/api/MonotonicTime.java
@@ -1,23 +1,23 @@
 package pearladder.routing.api;
 
-/** A point in time on the clock that the caller hands in with every event. */
+/** A point in time on the monotonic clock of the caller, which passes it in with every event. */
 public record MonotonicTime(long nanos) implements Comparable<MonotonicTime> {
-    /** The time after a span. */
+    /** Returns the time that is the given span later. */
     public MonotonicTime plus(TimeSpan span) {
         return new MonotonicTime(nanos + span.nanos());
     }
 
-    /** The time before, by a span. */
+    /** Returns the time that is the given span earlier. */
     public MonotonicTime minus(TimeSpan span) {
         return new MonotonicTime(nanos - span.nanos());
     }
 
-    /** The span since an earlier time; negative where that is later. */
+    /** Returns the span from an earlier time to this one; negative if the other time is later. */
     public TimeSpan since(MonotonicTime earlier) {
         return new TimeSpan(nanos - earlier.nanos);
     }
 
-    /** Whether it is strictly earlier. */
+    /** Returns whether this time is strictly earlier than another. */
     public boolean isBefore(MonotonicTime other) {
         return nanos < other.nanos;
     }
--- a/decisions/src/main/java/pearladder/routing/api/Outcome.java
+++ b/decisions/src/main/java/pearladder/routing/api/Outcome.java
@@ -1,6 +1,6 @@
 package pearladder.routing.api;
 
-/** How an attempt, a probe or a load request ended. */
+/** The result of an attempt, a health check or a load request. */
 public enum Outcome {
     SUCCESS(false),
     ERROR(false),
@@ -12,7 +12,7 @@
     VOID(true),
     ABSENT(true);
 
-    /** Whether it proves that the worker never executed the request. */
+    /** Whether the outcome proves that the worker never executed the request. */
     public final boolean neverExecuted;
 
     Outcome(boolean neverExecuted) {
--- a/decisions/src/main/java/pearladder/routing/api/RoutingPolicy.java
+++ b/decisions/src/main/java/pearladder/routing/api/RoutingPolicy.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import pearladder.routing.state.PolicySnapshot;
 
-/** The decisions of one router. Not thread-safe; it reads no clock, so the caller states the time. */
+/** Makes the decisions of one router. Not thread-safe. It reads no clock; the caller passes in the time. */
 public interface RoutingPolicy {
-    /** Handles one event and returns what is to be done, in order; times never decrease from call to call. */
+    /** Handles one event and returns the actions to execute, in order; {@code now} must not decrease between calls. */
     List<Action> handle(MonotonicTime now, Event event);
 
-    /** What was learnt and would be lost with this process; nothing by default. */
+    /** Returns the learnt state that would be lost at the end of this process; an empty snapshot by default. */
     default PolicySnapshot snapshot(MonotonicTime now) {
         return PolicySnapshot.NOTHING;
     }
--- a/decisions/src/main/java/pearladder/routing/api/RoutingSettings.java
+++ b/decisions/src/main/java/pearladder/routing/api/RoutingSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The settings that a router is given once, at its start. Spans of zero and empty lists mean that nothing is set. */
+/** The settings of a router, given once at its start. A span of zero or an empty list means that a value is not set. */
 public record RoutingSettings(
         int routerIndex,
         int routerCount,
@@ -19,21 +19,24 @@
         DiscoverySettings discovery,
         CostModel costs) {
 
-    /** What a repeat of a request does: nothing more, nothing more within the deduplication, or its work again. */
+    /**
+     * The effect of a repeated request, in the order of the constants: none, none within the deduplication scope and
+     * window of its idempotency key, or a second execution.
+     */
     public enum Idempotency {
         RETRIABLE,
         FINGERPRINTED,
         BINDING
     }
 
-    /** The workers that recognise a repeat of a request with an idempotency key: all, or those where it came first. */
+    /** The workers that recognise a repeated idempotency key: all, or those in the zone or cell of the first one. */
     public enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** What is agreed for a class of requests. */
+    /** The agreed service of a class of requests. */
     public record RequestClass(
             String name,
             TimeSpan latencyObjective,
@@ -50,9 +53,9 @@
     public record Tenant(String name, double share, double quotaPerSecond) {}
 
     /**
-     * What may be sent.
+     * Limits and permissions for attempts.
      *
-     * @param connectTimeout how long a connection to a worker may take to come up before an attempt is sent on it
+     * @param connectTimeout how long establishing a connection to a worker may take before an attempt is sent on it
      */
     public record AttemptLimits(
             int maxAttempts,
@@ -66,22 +69,28 @@
             boolean weightByWork,
             TimeSpan connectTimeout) {}
 
-    /** How long after the decision an attempt is sent at the latest. */
+    /** Returns the maximum delay between the decision on an attempt and its sending. */
     public TimeSpan maxSendDelay() {
         return quantum.plus(attemptLimits.connectTimeout());
     }
 
-    /** How late a final answer, and the last attempt sent to a draining worker, may come. */
+    /** The tolerated delays of a final answer after its deadline, and of the last attempt sent to a draining worker. */
     public record ResponseGrace(TimeSpan grace, TimeSpan drainGrace) {}
 
-    /** A worker starts at a share of its capacity; a multiple of that, sent for a span, overloads it. */
+    /**
+     * Capacity of a worker that has just started: an initial share that grows over the warm-up time. Traffic of the
+     * overload factor times that capacity, sent for the overload time, overloads the worker.
+     */
     public record SlowStartSettings(
             double initialCapacityShare, TimeSpan warmUpTime, double overloadFactor, TimeSpan overloadTime) {}
 
-    /** Load requests within a window: a few, and a share of the requests admitted in it. A window of zero: no limit. */
+    /**
+     * Load requests allowed within a window: a burst, plus a share of the requests admitted in the window. A window of
+     * zero means no limit.
+     */
     public record LoadQuota(double burst, double requestShare, TimeSpan window) {}
 
-    /** How workers load and keep instances; the memory is in MB. */
+    /** The properties of workers that concern loading and keeping instances; the memory is in MB. */
     public record InstanceSettings(
             TimeSpan idleTimeout,
             boolean acceptsLoadRequests,
@@ -91,13 +100,13 @@
             boolean reportsConcurrency,
             List<Double> memoryByWorkerKind) {}
 
-    /** What workers report of their load. */
+    /** The fields of the workers' load reports, and whether responses include the reports. */
     public record LoadReportSettings(List<String> fields, boolean inAnswers) {}
 
-    /** How the endpoint list comes: pushed, or polled within an interval. */
+    /** How the endpoint list is obtained: pushed, or polled at an interval. */
     public record DiscoverySettings(boolean polled, TimeSpan pollInterval) {}
 
-    /** What the operators charge for each kind of waste. */
+    /** The operators' costs of each kind of waste. */
     public record CostModel(
             double crossZone, double waste, double probe, double modelFetch, double lateFailure, double idleMemory) {}
 }
--- a/decisions/src/main/java/pearladder/routing/api/TimeSpan.java
+++ b/decisions/src/main/java/pearladder/routing/api/TimeSpan.java
@@ -1,61 +1,61 @@
 package pearladder.routing.api;
 
-/** A length of time in nanoseconds; negative where a time lies ahead. */
+/** A length of time in nanoseconds; negative for the span since a time in the future. */
 public record TimeSpan(long nanos) implements Comparable<TimeSpan> {
-    /** No time. */
+    /** A span of length zero. */
     public static final TimeSpan ZERO = new TimeSpan(0);
 
-    /** A span of whole milliseconds. */
+    /** Returns a span of whole milliseconds. */
     public static TimeSpan millis(long millis) {
         return new TimeSpan(millis * 1_000_000L);
     }
 
-    /** A span of seconds, rounded to nanoseconds. */
+    /** Returns a span of seconds, rounded to nanoseconds. */
     public static TimeSpan seconds(double seconds) {
         return new TimeSpan(Math.round(seconds * 1e9));
     }
 
-    /** The span in seconds. */
+    /** Returns this span in seconds. */
     public double toSeconds() {
         return nanos / 1e9;
     }
 
-    /** The whole milliseconds of the span. */
+    /** Returns this span in whole milliseconds, truncated towards zero. */
     public long toMillis() {
         return nanos / 1_000_000L;
     }
 
-    /** The sum of both. */
+    /** Returns the sum of this span and another. */
     public TimeSpan plus(TimeSpan other) {
         return new TimeSpan(nanos + other.nanos);
     }
 
-    /** The difference of both. */
+    /** Returns this span less another. */
     public TimeSpan minus(TimeSpan other) {
         return new TimeSpan(nanos - other.nanos);
     }
 
-    /** The multiple, rounded to nanoseconds. */
+    /** Returns this span multiplied by a factor, rounded to nanoseconds. */
     public TimeSpan times(double factor) {
         return new TimeSpan(Math.round(nanos * factor));
     }
 
-    /** The ratio of both. */
+    /** Returns the ratio of this span to another. */
     public double dividedBy(TimeSpan other) {
         return (double) nanos / other.nanos;
     }
 
-    /** Whether it is strictly longer. */
+    /** Returns whether this span is strictly longer than another. */
     public boolean isLongerThan(TimeSpan other) {
         return nanos > other.nanos;
     }
 
-    /** The shorter of both. */
+    /** Returns the shorter of this span and another. */
     public TimeSpan atMost(TimeSpan other) {
         return nanos <= other.nanos ? this : other;
     }
 
-    /** The longer of both. */
+    /** Returns the longer of this span and another. */
     public TimeSpan atLeast(TimeSpan other) {
         return nanos >= other.nanos ? this : other;
     }
