--- a/decisions/src/test/java/pearladder/routing/ActionChecker.java
+++ b/decisions/src/test/java/pearladder/routing/ActionChecker.java
@@ -17,7 +17,7 @@
 import pearladder.routing.api.RoutingSettings.LoadQuota;
 import pearladder.routing.api.TimeSpan;
 
-/** Asserts the rules that every action of a policy has to keep, whatever happened before. */
+/** Asserts the rules that every action of a policy has to keep in any state. */
 final class ActionChecker {
     private final RoutingSettings settings;
     private final Map<String, TrackedRequest> requests;
@@ -25,19 +25,19 @@
     private final List<MonotonicTime> admittedAt = new ArrayList<>();
     private final List<MonotonicTime> loadRequestedAt = new ArrayList<>();
 
-    /** Reads the requests and endpoints as they are at each check; their owner keeps them up to date. */
+    /** Creates a checker that reads the maps at each check; the caller keeps them up to date. */
     ActionChecker(RoutingSettings settings, Map<String, TrackedRequest> requests, Map<String, Endpoint> endpoints) {
         this.settings = settings;
         this.requests = requests;
         this.endpoints = endpoints;
     }
 
-    /** Counts a request that arrives for the load quota; to be called before the policy handles it. */
+    /** Counts an arriving request for the load quota; must be called before the policy handles it. */
     void onRequestArrived(MonotonicTime now) {
         admittedAt.add(now);
     }
 
-    /** Checks an action before it is carried out. */
+    /** Checks an action before it is executed. */
     void check(MonotonicTime now, Action action) {
         if (action instanceof Action.SendAttempt send) {
             checkSend(now, send);
@@ -50,42 +50,41 @@
         } else if (action instanceof Action.CancelAttempt cancel) {
             assertTrue(settings.attemptLimits().cancel());
             int attempts = requests.get(cancel.requestId()).workers.size();
-            assertTrue(cancel.attempt() < attempts, "cancels an attempt that was never sent");
+            assertTrue(cancel.attempt() < attempts, "cancellation of an attempt that was never sent");
         }
     }
 
     private void checkSend(MonotonicTime now, Action.SendAttempt send) {
         TrackedRequest request = requests.get(send.requestId());
-        assertFalse(request.completed, "an attempt after the final answer");
-        assertTrue(isInService(send.worker()), "an attempt to a worker that drains or is gone");
-        assertTrue(request.workers.size() < settings.attemptLimits().maxAttempts(), "too many attempts");
-        assertTrue(send.timeout().nanos() > 0, "a timeout in the past");
+        assertFalse(request.completed, "attempt after the final answer");
+        assertTrue(isInService(send.worker()), "attempt sent to a worker that is draining or gone");
+        assertTrue(request.workers.size() < settings.attemptLimits().maxAttempts(), "more than the maximum attempts");
+        assertTrue(send.timeout().nanos() > 0, "timeout is not positive");
         assertTrue(
                 settings.attemptLimits().hedging() || request.attemptsInFlight() == 0,
-                "two attempts in flight at once");
+                "second attempt in flight although hedging is not allowed");
         if (!request.mayHaveExecuted()) {
             return;
         }
         Idempotency idempotency = request.requestClass.idempotency();
         assertFalse(
-                idempotency == Idempotency.BINDING,
-                "a non-idempotent request that may have been executed was sent again");
+                idempotency == Idempotency.BINDING, "retry of a non-idempotent request that may have been executed");
         if (idempotency == Idempotency.FINGERPRINTED) {
             checkDeduplication(now, request, send.worker());
         }
     }
 
-    /** A repeat with an idempotency key must reach a worker that still remembers the key. */
+    /** Asserts that a repeat with an idempotency key reaches a worker that still remembers the key. */
     private void checkDeduplication(MonotonicTime now, TrackedRequest request, String worker) {
         int first = request.firstPossiblyExecuted();
         TimeSpan ageOnArrival = now.since(request.sentAt.get(first)).plus(settings.maxSendDelay());
         assertTrue(
                 ageOnArrival.compareTo(request.requestClass.deduplicationWindow()) <= 0,
-                "outside the deduplication window, if its connection comes up as late as it may");
+                "retry may arrive after the deduplication window if its connection takes the connect timeout");
         String zone = endpoints.get(worker).zone();
         String firstZone = endpoints.get(request.workers.get(first)).zone();
         boolean allWorkers = request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
-        assertTrue(allWorkers || zone.equals(firstZone), "outside the deduplication scope");
+        assertTrue(allWorkers || zone.equals(firstZone), "retry outside the deduplication scope");
     }
 
     private void checkReject(MonotonicTime now, TrackedRequest request) {
@@ -94,20 +93,20 @@
                 && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
         assertTrue(
                 idempotency == Idempotency.RETRIABLE || !request.mayHaveExecuted() || deduplicatedByAll,
-                "rejects a request that may have been executed");
+                "rejection of a request that may have been executed");
         checkFinalAnswer(now, request);
     }
 
     private void checkFinalAnswer(MonotonicTime now, TrackedRequest request) {
         assertNotNull(request);
-        assertFalse(request.completed, "a second final answer");
+        assertFalse(request.completed, "second final answer");
         MonotonicTime latest = request.deadlineAt.plus(settings.responseGrace().grace());
-        assertFalse(latest.isBefore(now), "a final answer too late");
+        assertFalse(latest.isBefore(now), "final answer after the deadline and its grace");
     }
 
     private void checkLoad(MonotonicTime now, Action.LoadInstances load) {
-        assertTrue(settings.instances().acceptsLoadRequests(), "a load request where none is accepted");
-        assertTrue(isInService(load.worker()), "a load request to a worker that drains or is gone");
+        assertTrue(settings.instances().acceptsLoadRequests(), "load request although workers accept none");
+        assertTrue(isInService(load.worker()), "load request to a worker that is draining or gone");
         loadRequestedAt.add(now);
         LoadQuota quota = settings.loadQuota();
         TimeSpan window = quota.window();
--- a/decisions/src/test/java/pearladder/routing/FleetTest.java
+++ b/decisions/src/test/java/pearladder/routing/FleetTest.java
@@ -26,10 +26,10 @@
 import pearladder.routing.api.RoutingSettings.SlowStartSettings;
 import pearladder.routing.api.TimeSpan;
 
-/** What many routers do together to one fleet of workers, each of them knowing only its own traffic. */
+/** Tests the combined load of many routers, each of which knows only its own traffic, on one fleet of workers. */
 class FleetTest {
     private static final int WORKERS = 40;
-    /** Requests a second at a warm worker. */
+    /** Requests per second at a warm worker. */
     private static final double RATE_PER_WORKER = 8;
 
     private static final int FUNCTIONS = 120;
@@ -39,7 +39,7 @@
     /** The worker that is restarted. */
     private static final String COLD_WORKER = "w0";
 
-    /** @param number of the task in the order in which they were scheduled, which decides at the same time */
+    /** @param number the position in the order of scheduling, which decides between tasks at the same time */
     private record ScheduledTask(MonotonicTime at, long number, Runnable task) {}
 
     private final PriorityQueue<ScheduledTask> tasks =
@@ -54,10 +54,10 @@
     /** When the cold worker was restarted; null before that. */
     private MonotonicTime coldSince;
 
-    private long numberCount;
+    private long nextNumber;
 
     private final class Router {
-        /** Traffic in relation to that of the other routers. */
+        /** Weight of this router's traffic relative to the other routers. */
         final double trafficWeight;
 
         StickyFirstFitPolicy policy;
@@ -66,7 +66,7 @@
             this.trafficWeight = trafficWeight;
         }
 
-        /** Starts a process that knows nothing but the endpoint list. */
+        /** Starts a new process, which knows only the endpoint list. */
         void start(long seed) {
             policy = new StickyFirstFitPolicy(seed, settings);
             on(endpointsUpdated(EndpointUpdateKind.CACHED));
@@ -82,7 +82,7 @@
             }
         }
 
-        /** Runs a task unless this router has been restarted by then. */
+        /** Runs a task after a delay, unless this router has been restarted by then. */
         private void scheduleInProcess(TimeSpan delay, Runnable task) {
             StickyFirstFitPolicy process = policy;
             schedule(delay, () -> {
@@ -120,7 +120,7 @@
     }
 
     private void schedule(TimeSpan delay, Runnable task) {
-        tasks.add(new ScheduledTask(now.plus(delay.atLeast(TimeSpan.ZERO)), numberCount++, task));
+        tasks.add(new ScheduledTask(now.plus(delay.atLeast(TimeSpan.ZERO)), nextNumber++, task));
     }
 
     private void runUntil(MonotonicTime until) {
@@ -143,7 +143,7 @@
         return new Event.EndpointsUpdated(kind, endpoints);
     }
 
-    /** Schedules the next request of a Poisson process, which schedules the one after it, and so on. */
+    /** Schedules the next request of a Poisson process; each request schedules the following one. */
     private void scheduleTraffic(List<Router> routers, Random random, double requestsPerSecond) {
         double secondsToNext = -Math.log(1 - random.nextDouble()) / requestsPerSecond;
         schedule(TimeSpan.seconds(secondsToNext), () -> {
@@ -164,9 +164,9 @@
         return routers.get(index);
     }
 
-    /** A request of a function; few functions have most of the requests. */
+    /** Returns a request of a random function; few functions get most of the requests. */
     private Event.RequestArrived randomRequest(Random random) {
-        String requestId = "call" + numberCount;
+        String requestId = "call" + nextNumber;
         String function = "f" + (int) (FUNCTIONS * Math.pow(random.nextDouble(), 3));
         functionByRequest.put(requestId, function);
         return new Event.RequestArrived(
@@ -184,14 +184,14 @@
     }
 
     /**
-     * Guards against routers that each have a little left for a cold worker and spend it in the same moment, when the
-     * workers beside it go: in any span in which it may be overloaded it gets what the settings allow it then, and
-     * beyond that no more than chance explains. Some routers have several times the mean traffic; some restart with
-     * the worker and know nothing.
+     * Guards against an overload of a cold worker by routers that all use their remaining tokens for it at the same
+     * moment, when other workers are lost. Within any overload time it must not get more requests than the settings
+     * allow, plus a margin for random variation. Some routers have four times the traffic of the others; some restart
+     * with the worker and have no history.
      */
     @ParameterizedTest
     @CsvSource({"3, 1, 4", "20, 2, 12", "30, 1, 4", "100, 1, 4", "100, 2, 8", "100, 3, 12", "100, 4, 13"})
-    void aColdWorkerBearsTheSumOfAllRouters(int routerCount, long seed, int lostAfterSeconds) {
+    void coldWorkerIsNotOverloadedByAllRoutersTogether(int routerCount, long seed, int lostAfterSeconds) {
         settings = TestSettings.withRouterCount(routerCount);
         Random random = new Random(seed);
         List<Router> routers = startRouters(routerCount, random);
@@ -202,7 +202,7 @@
         loseAThirdOfTheOtherWorkers(routers);
         runUntil(coldSince.plus(settings.slowStart().warmUpTime()));
         assertColdWorkerIsNeverOverloaded();
-        assertTrue(sentToColdAt.size() > RATE_PER_WORKER, "it gets work all the same: " + sentToColdAt.size());
+        assertTrue(sentToColdAt.size() > RATE_PER_WORKER, "too few sent to the cold worker: " + sentToColdAt.size());
     }
 
     private List<Router> startRouters(int routerCount, Random random) {
@@ -227,7 +227,7 @@
         }
     }
 
-    /** All at once, so that their requests need capacity everywhere. */
+    /** Removes the workers at the same moment, so that their requests need capacity on all others. */
     private void loseAThirdOfTheOtherWorkers(List<Router> routers) {
         for (int i = 1; i <= WORKERS / 3; i++) {
             lostWorkers.add("w" + i);
@@ -249,14 +249,14 @@
             if (window.size() / bound > worstRatio) {
                 worstRatio = window.size() / bound;
                 worstCase = String.format(
-                        "%.1f s after its start: %d requests, %.1f are allowed, %.1f with chance; %d in all",
+                        "%.1f s after the restart: %d requests, %.1f allowed, %.1f with random variation; %d in all",
                         sentAt.since(coldSince).toSeconds(), window.size(), allowed, bound, sentToColdAt.size());
             }
         }
         assertTrue(worstRatio <= 1, worstCase);
     }
 
-    /** Requests within the overload time that the cold worker can take at a moment of its warm-up. */
+    /** Returns the requests within the overload time that the cold worker can take at a time of its warm-up. */
     private double allowedRequests(MonotonicTime at) {
         SlowStartSettings slowStart = settings.slowStart();
         double progress = at.since(coldSince).dividedBy(slowStart.warmUpTime());
--- a/decisions/src/test/java/pearladder/routing/InstancePreloaderTest.java
+++ b/decisions/src/test/java/pearladder/routing/InstancePreloaderTest.java
@@ -11,7 +11,7 @@
 import pearladder.routing.api.RoutingSettings;
 import pearladder.routing.api.TimeSpan;
 
-/** Load requests that renew, add and prewarm instances. */
+/** Tests the load requests that renew and prewarm instances. */
 class InstancePreloaderTest {
     @Test
     void instanceInUseIsRenewedWithinTheQuota() {
@@ -30,7 +30,7 @@
         return List.copyOf(harness.actions.subList(from, harness.actions.size()));
     }
 
-    /** A new version's instances are loaded before its requests, one at a time; progress is reported at each tick. */
+    /** Instances of a new version are loaded ahead of its requests, one at a time, with progress at each tick. */
     @Test
     void prewarmingRequestsOneLoadAtATimeAndReportsProgress() {
         PolicyHarness harness = PolicyHarness.withWorkers(
@@ -44,7 +44,7 @@
                 .toList();
         assertEquals(1, loadRequests.size());
         assertTrue(first.contains(new Action.PrewarmProgress("f@2", 0)), first.toString());
-        assertTrue(tick(harness).stream().noneMatch(Action.LoadInstances.class::isInstance), "one at a time");
+        assertTrue(tick(harness).stream().noneMatch(Action.LoadInstances.class::isInstance), "one load at a time");
         harness.on(
                 new Event.LoadCompleted(loadRequests.get(0).worker(), "f@2", Outcome.SUCCESS, 1, TimeSpan.millis(500)));
         assertTrue(tick(harness).contains(new Action.PrewarmProgress("f@2", 1)));
--- a/decisions/src/test/java/pearladder/routing/ModelLoadLimiterTest.java
+++ b/decisions/src/test/java/pearladder/routing/ModelLoadLimiterTest.java
@@ -11,9 +11,9 @@
 import pearladder.routing.api.Outcome;
 import pearladder.routing.api.TimeSpan;
 
-/** How many loads are started, and where. */
+/** Tests how many loads are started, and at which workers. */
 class ModelLoadLimiterTest {
-    /* Found on wire-campus-main: refusals as full sent a function on to start a load at every other worker. */
+    /* Guards against refusals as full that send a function on to start a load at every other worker. */
     @Test
     void refusalsAsFullDoNotStartALoadOnEveryWorker() {
         PolicyHarness harness = PolicyHarness.withWorkers(TestSettings.withoutLoadRequests(), 10);
@@ -30,7 +30,7 @@
         assertTrue(used.size() <= 2, "loads started at " + used);
     }
 
-    /* Found on slope-maps-later rough-1: each of many routers had a load under way whatever the store did. */
+    /* Guards against a load in progress at each of many routers whatever the state of the model store. */
     @Test
     void manyRoutersStartFewerLoadsEach() {
         assertTrue(loadsStarted(60, 3) < loadsStarted(3, 3));
@@ -52,7 +52,7 @@
         return started;
     }
 
-    /* Found on slope-maps (i5d4f4a): functions spread to all workers and pushed each other out of memory. */
+    /* Guards against functions that spread to all workers and evict each other from memory. */
     @Test
     void functionsSpreadOnlyWhereMemoryIsLeft() {
         assertTrue(workersReached(500) > 1);
--- a/decisions/src/test/java/pearladder/routing/OutlierDetectorTest.java
+++ b/decisions/src/test/java/pearladder/routing/OutlierDetectorTest.java
@@ -14,9 +14,9 @@
 import pearladder.routing.api.Outcome;
 import pearladder.routing.api.TimeSpan;
 
-/** Workers that are ejected. */
+/** Tests which workers are ejected, and for how long. */
 class OutlierDetectorTest {
-    /* Found on the platform's churn day: half of the fleet refused two requests in five and reported capacity. */
+    /* Guards against workers (once half of a fleet) that report capacity but refuse two requests in five as full. */
     @Test
     void refusalByAWorkerThatReportsCapacityCountsAsFailure() {
         PolicyHarness harness = PolicyHarness.withWorkers(TestSettings.withoutLoadRequests(), 4);
@@ -27,13 +27,13 @@
         harness.endAttempt(request, 1, Outcome.SUCCESS, InstanceStatus.STOOD, TimeSpan.millis(120));
         for (int i = 0; i < 12; i++) {
             TrackedRequest next = harness.request("f", TestSettings.IDEMPOTENT);
-            assertTrue(i > 2 || next.workers.get(0).equals(home), "it is not skipped");
+            assertTrue(i > 2 || next.workers.get(0).equals(home), "one needless refusal does not exclude the worker");
             for (int attempt = 0; attempt < next.workers.size(); attempt++) {
-                boolean there = next.workers.get(attempt).equals(home);
+                boolean sentToHome = next.workers.get(attempt).equals(home);
                 harness.endAttempt(
                         next,
                         attempt,
-                        there ? Outcome.FULL : Outcome.SUCCESS,
+                        sentToHome ? Outcome.FULL : Outcome.SUCCESS,
                         InstanceStatus.STOOD,
                         TimeSpan.millis(120),
                         0,
@@ -43,7 +43,7 @@
             harness.endAttempt(other, 0, Outcome.SUCCESS, InstanceStatus.STOOD, TimeSpan.millis(120), 0, 0);
             harness.advance(TimeSpan.millis(100));
         }
-        assertFalse(harness.request("f", TestSettings.IDEMPOTENT).workers.contains(home), "it is ejected");
+        assertFalse(harness.request("f", TestSettings.IDEMPOTENT).workers.contains(home), "the worker is ejected");
     }
 
     @Test
@@ -79,6 +79,6 @@
         for (int i = 0; i < 30; i++) {
             used.add(harness.homeWorker("g" + i));
         }
-        assertTrue(used.contains(slow), "it returns after the fixed time and its random part");
+        assertTrue(used.contains(slow), "the worker is used again after the longest ejection");
     }
 }
--- a/decisions/src/test/java/pearladder/routing/PolicyHarness.java
+++ b/decisions/src/test/java/pearladder/routing/PolicyHarness.java
@@ -18,7 +18,7 @@
 import pearladder.routing.api.RoutingSettings.RequestClass;
 import pearladder.routing.api.TimeSpan;
 
-/** Drives one policy step by step in virtual time and checks the rules on each action that it returns. */
+/** Drives one policy step by step in virtual time and checks the rules for each action that it returns. */
 final class PolicyHarness {
     static final TimeSpan SHORT_TIME = TimeSpan.millis(100);
 
@@ -44,7 +44,7 @@
         this.checker = new ActionChecker(settings, requests, endpoints);
     }
 
-    /** A policy that knows workers w0, w1 and so on, in the zones a and b by turns. */
+    /** Creates a policy that knows workers w0, w1 and so on, alternately in zones a and b. */
     static PolicyHarness withWorkers(RoutingSettings settings, int count) {
         PolicyHarness harness = new PolicyHarness(settings);
         for (int i = 0; i < count; i++) {
@@ -68,7 +68,7 @@
         updateEndpoints(EndpointUpdateKind.DELTA);
     }
 
-    /** The worker that gets a request of the function now; the request succeeds after a short time. */
+    /** Sends a request of the function, which succeeds after a short time, and returns the worker that got it. */
     String homeWorker(String function) {
         TrackedRequest request = request(function, TestSettings.IDEMPOTENT);
         advance(SHORT_TIME);
@@ -76,7 +76,7 @@
         return request.workers.get(0);
     }
 
-    /** Lets time pass; timers that are due fire. */
+    /** Advances the time and fires the timers that are due. */
     void advance(TimeSpan span) {
         MonotonicTime until = now.plus(span);
         Action.SetTimer next = nextTimer();
@@ -89,7 +89,7 @@
         now = until;
     }
 
-    /** The timer that is due first, of several at one time the one set first; null where none is set. */
+    /** Returns the timer that is due first, and among those the one set first; null if none is set. */
     private Action.SetTimer nextTimer() {
         Action.SetTimer next = null;
         for (Action.SetTimer timer : timers) {
@@ -121,7 +121,7 @@
                         false));
     }
 
-    /** Hands a request to the policy that the caller has made itself. */
+    /** Passes a request that the caller created to the policy. */
     TrackedRequest request(TrackedRequest request, Event.RequestArrived event) {
         requests.put(request.id, request);
         checker.onRequestArrived(now);
@@ -129,7 +129,7 @@
         return request;
     }
 
-    /** Ends the request's only attempt in flight as a success of an instance that was loaded. */
+    /** Ends the request's only attempt in flight as a success on an instance that was already loaded. */
     void succeed(TrackedRequest request, TimeSpan elapsed) {
         int attempt = request.outcomes.indexOf(null);
         endAttempt(request, attempt, Outcome.SUCCESS, InstanceStatus.STOOD, elapsed);
@@ -172,7 +172,7 @@
                 new Event.WorkerLoadReport(Double.NaN, backlog, Double.NaN, loadsInProgress, Double.NaN)));
     }
 
-    /** Hands an event to the policy; checks its actions and carries them out. */
+    /** Passes an event to the policy, and checks and applies its actions. */
     List<Action> on(Event event) {
         List<Action> newActions = policy.handle(now, event);
         for (Action action : newActions) {
--- a/decisions/src/test/java/pearladder/routing/ReadinessLeaseTest.java
+++ b/decisions/src/test/java/pearladder/routing/ReadinessLeaseTest.java
@@ -18,7 +18,7 @@
 import pearladder.routing.api.RoutingSettings;
 import pearladder.routing.api.TimeSpan;
 
-/** Workers get new work only under a lease while discovery does not confirm the endpoint list. */
+/** Tests that workers get new work only under a lease while discovery does not confirm the endpoint list. */
 class ReadinessLeaseTest {
     private static final TimeSpan OUT_OF_DATE = TimeSpan.seconds(3);
     private static final TimeSpan PING_TIME = TimeSpan.millis(2);
@@ -27,15 +27,15 @@
     private final RoutingSettings settings = TestSettings.withoutLoadRequests();
     private final PolicyHarness harness = PolicyHarness.withWorkers(settings, WORKERS);
 
-    /** Of the checks so far, those completed by {@link #completeNewChecks}. */
+    /** The number of health checks that {@link #completeNewChecks} has completed. */
     private int completedChecks;
 
     private TrackedRequest request() {
         return harness.request("f", TestSettings.IDEMPOTENT);
     }
 
-    /** Discovery confirmed the list once and is silent since. */
-    private void letTheListGetOutOfDate() {
+    /** Confirms the endpoint list once and lets it get out of date. */
+    private void makeListOutOfDate() {
         harness.on(new Event.EndpointListConfirmed(harness.now));
         harness.advance(OUT_OF_DATE);
     }
@@ -65,14 +65,14 @@
     }
 
     @Test
-    void listThatNobodyConfirmsIsBelieved() {
+    void listWithoutConfirmationsCountsAsCurrent() {
         harness.advance(TimeSpan.seconds(60));
         assertEquals(1, request().workers.size());
         assertNull(lastSent().sendBefore());
     }
 
     @Test
-    void confirmedListIsBelieved() {
+    void recentlyConfirmedListNeedsNoHealthChecks() {
         for (int i = 0; i < 20; i++) {
             harness.on(new Event.EndpointListConfirmed(harness.now));
             TrackedRequest request = request();
@@ -85,20 +85,21 @@
 
     @Test
     void requestWaitsForItsWorkerToProveThatItIsReady() {
-        letTheListGetOutOfDate();
+        makeListOutOfDate();
         TrackedRequest request = request();
         assertEquals(List.of(), request.workers);
         String worker = lastCheckedWorker();
-        MonotonicTime askedAt = harness.now;
+        MonotonicTime checkSentAt = harness.now;
         completeCheck(worker, Outcome.SUCCESS);
         assertEquals(List.of(worker), request.workers);
         assertEquals(
-                askedAt.plus(settings.responseGrace().drainGrace()), lastSent().sendBefore());
+                checkSentAt.plus(settings.responseGrace().drainGrace()),
+                lastSent().sendBefore());
     }
 
     @Test
     void oneCheckServesAllRequestsThatWait() {
-        letTheListGetOutOfDate();
+        makeListOutOfDate();
         List<TrackedRequest> waiting = List.of(request(), request());
         assertEquals(1, checkedWorkers().size());
         completeCheck(lastCheckedWorker(), Outcome.SUCCESS);
@@ -109,8 +110,8 @@
     @EnumSource(
             value = Outcome.class,
             names = {"ERROR", "FULL", "UNREACHABLE", "BROKEN", "TIMED_OUT"})
-    void workerThatDoesNotProveToBeReadyIsSkipped(Outcome outcome) {
-        letTheListGetOutOfDate();
+    void workerWithAFailedHealthCheckIsSkipped(Outcome outcome) {
+        makeListOutOfDate();
         TrackedRequest request = request();
         String unready = lastCheckedWorker();
         completeCheck(unready, outcome);
@@ -121,8 +122,8 @@
     }
 
     @Test
-    void silentWorkersHoldARequestForABoundedTime() {
-        letTheListGetOutOfDate();
+    void requestWaitsForSilentWorkersForABoundedTime() {
+        makeListOutOfDate();
         TrackedRequest request = request();
         harness.advance(settings.attemptLimits().connectTimeout().times(WORKERS + 1));
         assertTrue(request.completed, "rejected well before its deadline");
@@ -132,7 +133,7 @@
 
     @Test
     void executedRequestsRenewTheLease() {
-        letTheListGetOutOfDate();
+        makeListOutOfDate();
         TrackedRequest first = request();
         completeCheck(lastCheckedWorker(), Outcome.SUCCESS);
         for (int i = 0; i < 20; i++) {
@@ -147,7 +148,7 @@
 
     @Test
     void refusalEndsTheLease() {
-        letTheListGetOutOfDate();
+        makeListOutOfDate();
         TrackedRequest refused = request();
         completeCheck(lastCheckedWorker(), Outcome.SUCCESS);
         String worker = refused.workers.get(0);
@@ -159,20 +160,20 @@
     }
 
     @Test
-    void workerThatComesBackIsTakenForRestarted() {
+    void workerThatIsReadyAgainIsAssumedToHaveRestarted() {
         for (int i = 0; i < 400; i++) {
             harness.homeWorker("f" + i % 40);
         }
-        letTheListGetOutOfDate();
+        makeListOutOfDate();
         request();
         String worker = lastCheckedWorker();
         completeCheck(worker, Outcome.ERROR);
         completeCheck(lastCheckedWorker(), Outcome.SUCCESS);
         harness.on(new Event.HealthCheckCompleted(worker, Outcome.SUCCESS, PING_TIME, null));
-        assertTrue(isTakenForRestarted(worker), harness.actions::toString);
+        assertTrue(isAssumedToHaveRestarted(worker), harness.actions::toString);
     }
 
-    private boolean isTakenForRestarted(String worker) {
+    private boolean isAssumedToHaveRestarted(String worker) {
         String line = worker + " is ready again: taken for restarted";
         return harness.actions.stream()
                 .anyMatch(
@@ -180,19 +181,19 @@
     }
 
     @Test
-    void workerThatDiscoveryListsAgainIsNotTakenForRestartedInTheNextOutage() {
-        letTheListGetOutOfDate();
+    void workerThatDiscoveryListedSinceIsNotAssumedToHaveRestartedInTheNextOutage() {
+        makeListOutOfDate();
         request();
         String worker = lastCheckedWorker();
         completeCheck(worker, Outcome.ERROR);
-        letTheListGetOutOfDate();
+        makeListOutOfDate();
         harness.on(new Event.HealthCheckCompleted(worker, Outcome.SUCCESS, PING_TIME, null));
-        assertFalse(isTakenForRestarted(worker));
+        assertFalse(isAssumedToHaveRestarted(worker));
     }
 
     @Test
     void confirmationEndsTheChecks() {
-        letTheListGetOutOfDate();
+        makeListOutOfDate();
         request();
         String unready = lastCheckedWorker();
         completeCheck(unready, Outcome.ERROR);
@@ -207,7 +208,7 @@
     }
 
     @Test
-    void listIsNotBelievedBeforeItsFirstConfirmation() {
+    void listIsOutOfDateBeforeItsFirstConfirmation() {
         harness.on(new Event.EndpointListUnconfirmed());
         TrackedRequest request = request();
         assertEquals(List.of(), request.workers);
@@ -217,7 +218,7 @@
 
     @Test
     void requestWhoseClientLeavesWhileItWaitsIsNotSent() {
-        letTheListGetOutOfDate();
+        makeListOutOfDate();
         TrackedRequest request = request();
         request.completed = true;
         harness.on(new Event.ClientDisconnected(request.id));
@@ -226,7 +227,10 @@
         assertEquals(List.of(), request.workers);
     }
 
-    /** Sends requests of one function for a while; one worker refuses as it is told, all checks succeed at once. */
+    /**
+     * Sends requests of one function for a span and returns how many reach one worker. That worker refuses the requests
+     * whose index matches; all health checks succeed at once.
+     */
     private int sendsTo(String refusing, TimeSpan span, Predicate<Integer> refuses) {
         int sends = 0;
         MonotonicTime until = harness.now.plus(span);
@@ -254,9 +258,9 @@
     }
 
     @Test
-    void workerThatTurnsAllWorkAwayIsNotTriedAgainAndAgainForItsHealthChecks() {
+    void workerThatRefusesAllWorkIsRetriedRarelyDespiteSuccessfulHealthChecks() {
         String home = harness.homeWorker("f");
-        letTheListGetOutOfDate();
+        makeListOutOfDate();
         int soon = sendsTo(home, TimeSpan.seconds(8), sent -> true);
         int later = sendsTo(home, TimeSpan.seconds(14), sent -> true);
         assertTrue(soon >= 2 && soon <= 5, soon + " sends in 8 s");
@@ -264,9 +268,9 @@
     }
 
     @Test
-    void workerThatWasMerelyFullIsUsedAgainAsBefore() {
+    void workerThatWasTemporarilyFullIsUsedAgain() {
         String home = harness.homeWorker("f");
-        letTheListGetOutOfDate();
+        makeListOutOfDate();
         sendsTo(home, TimeSpan.seconds(3), sent -> sent < 3);
         int again = sendsTo(home, TimeSpan.seconds(5), sent -> false);
         assertTrue(again >= 20, again + " sends in 5 s");
@@ -275,7 +279,7 @@
     }
 
     @Test
-    void refusalsWhileTheListIsCurrentKeepNoWorkerAside() {
+    void refusalWhileTheListIsCurrentDoesNotExcludeTheWorker() {
         String home = harness.homeWorker("f");
         harness.on(new Event.EndpointListConfirmed(harness.now));
         TrackedRequest refused = request();
--- a/decisions/src/test/java/pearladder/routing/RetryPolicyTest.java
+++ b/decisions/src/test/java/pearladder/routing/RetryPolicyTest.java
@@ -10,7 +10,7 @@
 import pearladder.routing.api.Outcome;
 import pearladder.routing.api.TimeSpan;
 
-/** What may be sent again, and where. */
+/** Tests which requests are retried, and at which workers. */
 class RetryPolicyTest {
     @Test
     void nonIdempotentRequestThatMayHaveExecutedFails() {
@@ -35,7 +35,7 @@
         assertInstanceOf(Action.Fail.class, request.finalAction);
     }
 
-    /** Guards against a repeat on a connection that comes up too late, when the key is no longer remembered. */
+    /** Guards against a retry that arrives after the deduplication window, as its connection is established late. */
     @Test
     void requestWithIdempotencyKeyIsRetriedOnlyWithinItsDeduplicationWindow() {
         PolicyHarness harness = PolicyHarness.withWorkers(TestSettings.withoutLoadRequests(), 6);
--- a/decisions/src/test/java/pearladder/routing/RulesTest.java
+++ b/decisions/src/test/java/pearladder/routing/RoutingPolicyRandomizedTest.java
@@ -19,29 +19,29 @@
 import pearladder.routing.api.RoutingSettings.Tenant;
 import pearladder.routing.api.TimeSpan;
 
-/** Random sequences of events from a seed; the harness checks the rules at each action. */
-class RulesTest {
+/** Tests the policy with seeded random sequences of events; the harness checks the rules at each action. */
+class RoutingPolicyRandomizedTest {
     private static final int STEPS = 3000;
     private static final int WORKERS = 6;
     private static final int FUNCTIONS = 12;
-    /** Steps at the end, without new requests, in which all that are open end. */
+    /** Steps at the end without new requests, in which all open requests end. */
     private static final int FINAL_STEPS = 500;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void rulesHoldWhateverHappens(long seed) {
-        List<Action> once = new RandomRun(seed).run();
-        assertTrue(once.stream().anyMatch(action -> action instanceof Action.SendAttempt));
-        assertEquals(once, new RandomRun(seed).run(), "the same events give the same actions");
+    void rulesHoldForRandomEvents(long seed) {
+        List<Action> firstRun = new RandomRun(seed).run();
+        assertTrue(firstRun.stream().anyMatch(action -> action instanceof Action.SendAttempt));
+        assertEquals(firstRun, new RandomRun(seed).run(), "a second run with the same seed gave other actions");
     }
 
-    /** One sequence of events. The order of the random draws is part of what a seed stands for. */
+    /** One random sequence of events. A change in the order of the random draws changes the sequence of a seed. */
     private static final class RandomRun {
         private final SplittableRandom random;
         private final PolicyHarness harness;
         private final double failureShare;
         private final List<Action.LoadInstances> openLoadRequests = new ArrayList<>();
-        /** How many of the harness's actions were searched for load requests. */
+        /** The number of the harness's actions that were searched for load requests. */
         private int searchedActions;
 
         RandomRun(long seed) {
@@ -60,7 +60,7 @@
             return TestSettings.settings(acceptsLoadRequests, hedging, loadQuota, tenants);
         }
 
-        /** Returns all actions of the policy. */
+        /** Runs the sequence and returns all actions of the policy. */
         List<Action> run() {
             for (int step = 0; step < STEPS; step++) {
                 harness.advance(TimeSpan.millis(random.nextInt(1, 12)));
@@ -98,7 +98,7 @@
             harness.request("f" + function, requestClass, tenant, concurrency, timeLeft);
         }
 
-        /** As with a real worker client, an attempt still in flight at the client's deadline ends as timed out. */
+        /** Ends attempts still in flight at the client's deadline as timed out, as a real worker client does. */
         private void endOverdueAttempts() {
             for (TrackedRequest request : List.copyOf(harness.requests.values())) {
                 for (int attempt = 0; attempt < request.outcomes.size(); attempt++) {
@@ -159,7 +159,7 @@
                     new Event.LoadCompleted(load.worker(), load.function(), outcome, instances, TimeSpan.millis(900)));
         }
 
-        /** Events about ended requests, unknown workers and load requests of another process do no harm. */
+        /** Sends late events and events about unknown workers, and disconnects the clients of some open requests. */
         private void sendStrayEvents() {
             harness.on(new Event.AttemptEnded(
                     "call0", 0, "w0", Outcome.SUCCESS, TimeSpan.millis(5), true, InstanceStatus.STOOD, 3, null));
--- a/decisions/src/test/java/pearladder/routing/StickyFirstFitPolicyTest.java
+++ b/decisions/src/test/java/pearladder/routing/StickyFirstFitPolicyTest.java
@@ -15,7 +15,7 @@
 import pearladder.routing.api.Outcome;
 import pearladder.routing.api.TimeSpan;
 
-/** The ordinary path: cached workers, ring order, rejection at once. */
+/** Tests the main path: cached workers, ring order, immediate rejection. */
 class StickyFirstFitPolicyTest {
     @Test
     void requestsOfAFunctionGoToTheSameWorkerAtEveryRouter() {
@@ -28,11 +28,11 @@
             assertEquals(home, harness.homeWorker("f" + i));
             assertEquals(home, other.homeWorker("f" + i));
         }
-        assertTrue(used.size() >= 6, "functions spread over the fleet, not over " + used);
+        assertTrue(used.size() >= 6, "40 functions reached only " + used);
     }
 
     @Test
-    void hotFunctionSpreadsToMoreWorkersAndIsThenRejectedAtOnce() {
+    void hotFunctionSpreadsToMoreWorkersAndIsThenRejectedImmediately() {
         PolicyHarness harness = PolicyHarness.withWorkers(TestSettings.withoutLoadRequests(), 3);
         harness.homeWorker("f");
         Set<String> used = new HashSet<>();
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void forgottenFunctionReturnsToItsHomeWorker() {
+    void removedFunctionReturnsToItsHomeWorker() {
         PolicyHarness harness = PolicyHarness.withWorkers(TestSettings.withoutLoadRequests(), 8);
         String home = harness.homeWorker("f");
         harness.advance(TimeSpan.seconds(200));
--- a/decisions/src/test/java/pearladder/routing/TestSettings.java
+++ b/decisions/src/test/java/pearladder/routing/TestSettings.java
@@ -9,7 +9,7 @@
 import pearladder.routing.api.RoutingSettings.Tenant;
 import pearladder.routing.api.TimeSpan;
 
-/** Routing settings for the tests of the policy, with request classes of each kind of idempotency. */
+/** Routing settings for the tests of the policy, with request classes for each kind of idempotency. */
 final class TestSettings {
     static final RequestClass IDEMPOTENT = requestClass("draw", Idempotency.RETRIABLE, DeduplicationScope.ALL);
     static final RequestClass NON_IDEMPOTENT = requestClass("post", Idempotency.BINDING, DeduplicationScope.ALL);
@@ -17,7 +17,7 @@
             requestClass("commit", Idempotency.FINGERPRINTED, DeduplicationScope.ALL);
     static final RequestClass IDEMPOTENT_BY_KEY_IN_ZONE =
             requestClass("note", Idempotency.FINGERPRINTED, DeduplicationScope.ZONE);
-    /** Workers remember its idempotency keys for less than its deadline. */
+    /** A class whose deduplication window is shorter than its deadline. */
     static final RequestClass IDEMPOTENT_BY_KEY_BRIEFLY = new RequestClass(
             "brief",
             TimeSpan.seconds(1),
@@ -52,22 +52,22 @@
                 0);
     }
 
-    /** One of three routers, without load requests and quota. */
+    /** Returns settings for one of three routers, without load requests and load quota. */
     static RoutingSettings withoutLoadRequests() {
         return withRouterCount(FEW_ROUTERS);
     }
 
-    /** One of so many routers, without load requests and quota. */
+    /** Returns settings for one of {@code routerCount} routers, without load requests and load quota. */
     static RoutingSettings withRouterCount(int routerCount) {
         return settings(routerCount, false, true, NO_LOAD_QUOTA, List.of());
     }
 
-    /** One of three routers, with load requests within a quota. */
+    /** Returns settings for one of three routers, with load requests within a quota. */
     static RoutingSettings withLoadRequests(LoadQuota loadQuota) {
         return settings(true, true, loadQuota, List.of());
     }
 
-    /** One of three routers. */
+    /** Returns settings for one of three routers. */
     static RoutingSettings settings(
             boolean acceptsLoadRequests, boolean hedging, LoadQuota loadQuota, List<Tenant> tenants) {
         return settings(FEW_ROUTERS, acceptsLoadRequests, hedging, loadQuota, tenants);
--- a/decisions/src/test/java/pearladder/routing/TrackedRequest.java
+++ b/decisions/src/test/java/pearladder/routing/TrackedRequest.java
@@ -7,7 +7,7 @@
 import pearladder.routing.api.Outcome;
 import pearladder.routing.api.RoutingSettings.RequestClass;
 
-/** What a {@link PolicyHarness} has seen of one request; the lists have one entry for each attempt. */
+/** The state of one request in a {@link PolicyHarness}; the lists have one entry for each attempt. */
 final class TrackedRequest {
     final String id;
     final RequestClass requestClass;
@@ -16,7 +16,7 @@
     final List<MonotonicTime> sentAt = new ArrayList<>();
     /** Null for an attempt that is in flight. */
     final List<Outcome> outcomes = new ArrayList<>();
-    /** The action that rejected or failed it; null where there was none. */
+    /** The action that rejected or failed the request; null if there was none. */
     Action finalAction;
 
     boolean completed;
@@ -37,7 +37,7 @@
         return outcomes.stream().anyMatch(TrackedRequest::mayHaveExecuted);
     }
 
-    /** The index of the first attempt that may have been executed; there must be one. */
+    /** Returns the index of the first attempt that may have been executed; there must be one. */
     int firstPossiblyExecuted() {
         int first = 0;
         while (!mayHaveExecuted(outcomes.get(first))) {
--- a/decisions/src/test/java/pearladder/routing/state/HashRingTest.java
+++ b/decisions/src/test/java/pearladder/routing/state/HashRingTest.java
@@ -23,7 +23,7 @@
 class HashRingTest {
     private static final TimeSpan DECAY = TimeSpan.seconds(1);
     private static final int VIRTUAL_NODES = 64;
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
+    private static final Duration WALK_TIMEOUT = Duration.ofSeconds(10);
 
     private final EndpointList endpoints =
             new EndpointList(new HashRing(VIRTUAL_NODES), new DecayTimes(DECAY, DECAY, DECAY, DECAY));
@@ -35,7 +35,7 @@
         endpoints.apply(new Event.EndpointsUpdated(kind, listed), worker -> false);
     }
 
-    /** All workers in the function's ring order. */
+    /** Returns all workers in the function's ring order. */
     private List<String> order(String functionId) {
         Function function = new Function(functionId, DECAY, DECAY);
         List<String> order = new ArrayList<>();
@@ -52,7 +52,7 @@
         return ids;
     }
 
-    /** Two ids of the operators' form whose CRC-32 is the same. */
+    /** Returns two ids of the operators' format with the same CRC-32. */
     private static List<String> idsWithTheSameChecksum() {
         Map<Long, String> byChecksum = new HashMap<>();
         for (int i = 0; ; i++) {
@@ -71,7 +71,7 @@
         List<String> ids = new ArrayList<>(ids(3));
         ids.addAll(idsWithTheSameChecksum());
         update(EndpointUpdateKind.SNAPSHOT, EndpointState.IN_SERVICE, ids);
-        assertTimeoutPreemptively(PATIENCE, () -> assertEquals(Set.copyOf(ids), Set.copyOf(order("f"))));
+        assertTimeoutPreemptively(WALK_TIMEOUT, () -> assertEquals(Set.copyOf(ids), Set.copyOf(order("f"))));
         String first = ids.get(3);
         update(EndpointUpdateKind.DELTA, EndpointState.DRAINING, List.of(first));
         ids.remove(first);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void orderDoesNotDependOnHowTheListCame() {
+    void orderDoesNotDependOnTheSequenceOfUpdates() {
         List<String> ids = ids(300);
         update(EndpointUpdateKind.SNAPSHOT, EndpointState.IN_SERVICE, ids);
         List<String> atOnce = order("f");
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void walkOfALargeFleetExaminesAndRemembersABoundedNumberOfWorkers() {
+    void walkOfALargeFleetExaminesAndStoresABoundedNumberOfWorkers() {
         update(EndpointUpdateKind.SNAPSHOT, EndpointState.IN_SERVICE, ids(3200));
         Function function = new Function("f", DECAY, DECAY);
         List<String> examined = new ArrayList<>();
