--- a/decisions/src/main/java/pearladder/routing/api/RoutingPolicy.java
+++ b/decisions/src/main/java/pearladder/routing/api/RoutingPolicy.java
@@ -10,6 +10,6 @@
 
     /** Returns the learnt state that would be lost at the end of this process; an empty snapshot by default. */
     default PolicySnapshot snapshot(MonotonicTime now) {
-        return PolicySnapshot.NOTHING;
+        return PolicySnapshot.EMPTY;
     }
 }
--- a/decisions/src/main/java/pearladder/routing/api/RoutingSettings.java
+++ b/decisions/src/main/java/pearladder/routing/api/RoutingSettings.java
@@ -101,12 +101,17 @@
             List<Double> memoryByWorkerKind) {}
 
     /** The fields of the workers' load reports, and whether responses include the reports. */
-    public record LoadReportSettings(List<String> fields, boolean inAnswers) {}
+    public record LoadReportSettings(List<String> fields, boolean inResponses) {}
 
     /** How the endpoint list is obtained: pushed, or polled at an interval. */
     public record DiscoverySettings(boolean polled, TimeSpan pollInterval) {}
 
     /** The operators' costs of each kind of waste. */
     public record CostModel(
-            double crossZone, double waste, double probe, double modelFetch, double lateFailure, double idleMemory) {}
+            double crossZone,
+            double waste,
+            double healthCheck,
+            double modelFetch,
+            double lateFailure,
+            double idleMemory) {}
 }
--- a/decisions/src/main/java/pearladder/routing/state/PolicySnapshot.java
+++ b/decisions/src/main/java/pearladder/routing/state/PolicySnapshot.java
@@ -42,6 +42,5 @@
     public record InstanceSnapshot(String worker, int instances, TimeSpan sinceRenewed, boolean cached) {}
 
     /** A snapshot without content. */
-    public static final PolicySnapshot NOTHING =
-            new PolicySnapshot(TimeSpan.ZERO, List.of(), List.of(), List.of(), 0, 0);
+    public static final PolicySnapshot EMPTY = new PolicySnapshot(TimeSpan.ZERO, List.of(), List.of(), List.of(), 0, 0);
 }
