--- a/cli/src/main/java/pearladder/cli/CheckCommand.java
+++ b/cli/src/main/java/pearladder/cli/CheckCommand.java
@@ -30,7 +30,7 @@
     @Override
     public Integer call() {
         String kind = "a router";
-        ConfigValue value = YamlParser.read(file);
+        ConfigValue value = YamlParser.parse(file);
         if (value.keys().contains("release")) {
             RolloutPlanParser.read(file);
             kind = "a release's plan";
@@ -42,7 +42,7 @@
             kind = "a day";
         } else if (value.keys().contains("fleet")) {
             FleetPlan.read(value.at("fleet"));
-            value.done();
+            value.requireValid();
             kind = "a fleet";
         } else {
             RouterConfigParser.read(file);
--- a/cli/src/main/java/pearladder/cli/Commands.java
+++ b/cli/src/main/java/pearladder/cli/Commands.java
@@ -60,7 +60,7 @@
     private static int handleFailure(Exception failure, CommandLine commandLine, CommandLine.ParseResult parsed) {
         PrintWriter err = commandLine.getErr();
         if (failure instanceof ConfigErrors.ConfigException errors) {
-            errors.mistakes().forEach(err::println);
+            errors.errors().forEach(err::println);
             err.flush();
             return USAGE_ERROR;
         }
--- a/cli/src/main/java/pearladder/cli/EventLogCommand.java
+++ b/cli/src/main/java/pearladder/cli/EventLogCommand.java
@@ -48,7 +48,7 @@
             mixinStandardHelpOptions = true,
             description = "Check every file, checksum and number; ends with 1 where something is lost.")
     int verify(@Parameters(index = "0", paramLabel = "DIR") Path folder) throws IOException {
-        EventLogReader.Verified verified = new EventLogReader(folder).verify();
+        EventLogReader.VerificationResult verified = new EventLogReader(folder).verify();
         verified.damage().forEach(out()::println);
         out().println(String.format(
                 Locale.ROOT,
@@ -187,14 +187,14 @@
                         defaults.maxAgeMillis(),
                         TimeUnit.DAYS.toMillis(days)),
                 out()::println)) {
-            EventLog.Compacted compacted = eventLog.compact(Integer.MAX_VALUE);
+            EventLog.CompactionResult compacted = eventLog.compact(Integer.MAX_VALUE);
             out().println(String.format(
                     Locale.ROOT,
                     "%d files written anew: %d details gone, %.1f MB to %.1f MB",
                     compacted.files(),
-                    compacted.details(),
-                    compacted.before() / 1e6,
-                    compacted.after() / 1e6));
+                    compacted.deletedDetails(),
+                    compacted.bytesBefore() / 1e6,
+                    compacted.bytesAfter() / 1e6));
         }
         return 0;
     }
--- a/cli/src/main/java/pearladder/cli/EventLogCrashCommand.java
+++ b/cli/src/main/java/pearladder/cli/EventLogCrashCommand.java
@@ -57,7 +57,7 @@
             int runMillis = SHORTEST_RUN_MILLIS + random.nextInt(RUN_SPREAD_MILLIS);
             acknowledged = Math.max(acknowledged, writeAndKill(runMillis));
             // a compaction removes old details, never their numbers: verify finds a number that is missing
-            EventLogReader.Verified verified = new EventLogReader(folder).verify();
+            EventLogReader.VerificationResult verified = new EventLogReader(folder).verify();
             long last = lastEntry(acknowledged);
             if (last < acknowledged || !verified.damage().isEmpty()) {
                 losses++;
--- a/cli/src/main/java/pearladder/cli/MeteringInput.java
+++ b/cli/src/main/java/pearladder/cli/MeteringInput.java
@@ -31,13 +31,13 @@
 
     /** Passes on every share of that time, one by one: a month has many millions. Minutes count by their start. */
     void shares(PrintWriter out, Consumer<UsageShare> consumer) throws IOException {
-        Metering.Read read = Metering.read(folders, share -> {
+        Metering.MeteringResult read = Metering.computeShares(folders, share -> {
             if (share.intervalStartMillis() >= from.toEpochMilli() && share.intervalStartMillis() < to.toEpochMilli()) {
                 consumer.accept(share);
             }
         });
-        if (read.tooLate() > 0) {
-            out.println(read.tooLate() + " entries came too late for their minute and count in a later one"
+        if (read.lateEntries() > 0) {
+            out.println(read.lateEntries() + " entries came too late for their minute and count in a later one"
                     + " (a clock that stepped back, or routers whose clocks are minutes apart)");
         }
     }
--- a/cli/src/main/java/pearladder/cli/StandInsCommand.java
+++ b/cli/src/main/java/pearladder/cli/StandInsCommand.java
@@ -40,9 +40,9 @@
     @Override
     public Integer call() throws IOException {
         Logs.setUp(Logs.Form.AUTO);
-        ConfigValue value = YamlParser.read(file);
+        ConfigValue value = YamlParser.parse(file);
         FleetPlan plan = FleetPlan.read(value.at("fleet"));
-        value.done(Set.of("fleet"));
+        value.requireValid(Set.of("fleet"));
         Vertx vertx = Vertx.vertx();
         Consumer<Observation> observer = observation -> {};
         if (observationFile != null) {
--- a/config/src/main/java/pearladder/config/ConfigErrors.java
+++ b/config/src/main/java/pearladder/config/ConfigErrors.java
@@ -33,7 +33,7 @@
         }
 
         /** Returns the errors, sorted by line. */
-        public List<ConfigError> mistakes() {
+        public List<ConfigError> errors() {
             return errors;
         }
     }
--- a/config/src/main/java/pearladder/config/ConfigValue.java
+++ b/config/src/main/java/pearladder/config/ConfigValue.java
@@ -12,7 +12,8 @@
 
 /**
  * A value in a configuration file. An accessor that finds an error records it and returns a default, so that one pass
- * finds all errors; {@link #done} then reports keys that were not read and throws an exception if there is any error.
+ * finds all errors; {@link #requireValid} then reports keys that were not read and throws an exception if there
+ * is any error.
  */
 public final class ConfigValue {
     private static final Map<String, Double> SECONDS_BY_UNIT =
@@ -58,7 +59,7 @@
      * @param problem what is wrong
      * @param remedy how to correct it
      */
-    public void addMistake(String problem, String remedy) {
+    public void addError(String problem, String remedy) {
         errors.add(line, path, problem, remedy);
     }
 
@@ -69,7 +70,7 @@
         if (raw instanceof Map<?, ?> map) {
             return map;
         }
-        addMistake("keys and values were expected", "write \"key: value\" lines, indented below " + displayName());
+        addError("keys and values were expected", "write \"key: value\" lines, indented below " + displayName());
         return Map.of();
     }
 
@@ -108,7 +109,7 @@
             return List.of();
         }
         if (!(raw instanceof List<?> list)) {
-            addMistake("a list was expected", "write \"- \" before each entry");
+            addError("a list was expected", "write \"- \" before each entry");
             return List.of();
         }
         List<T> values = new ArrayList<>();
@@ -122,7 +123,7 @@
         if (raw instanceof String text) {
             return text;
         }
-        addMistake(
+        addError(
                 raw == null ? "a value is missing" : "a single value was expected",
                 "write it after \"" + displayName() + ": \"");
         return null;
@@ -150,11 +151,11 @@
             if (number >= min && number <= max) {
                 return number;
             }
-            addMistake(
+            addError(
                     "a number from " + formatNumber(min) + " to " + formatNumber(max) + " was expected, not " + text,
                     "change the value");
         } catch (NumberFormatException malformed) {
-            addMistake("a number was expected, not \"" + text + "\"", "write a number without a unit");
+            addError("a number was expected, not \"" + text + "\"", "write a number without a unit");
         }
         return min;
     }
@@ -165,17 +166,17 @@
     }
 
     /** Returns a whole number within bounds; records an error if it is missing. */
-    public int whole(int min, int max) {
+    public int wholeNumber(int min, int max) {
         double number = number(min, max);
         if (number != Math.rint(number)) {
-            addMistake("a whole number was expected", "remove the decimal places");
+            addError("a whole number was expected", "remove the decimal places");
         }
         return (int) number;
     }
 
     /** Returns a whole number within bounds, or a default if it is missing. */
-    public int whole(int defaultNumber, int min, int max) {
-        return raw == null ? defaultNumber : whole(min, max);
+    public int wholeNumber(int defaultNumber, int min, int max) {
+        return raw == null ? defaultNumber : wholeNumber(min, max);
     }
 
     /** Returns true or false, or a default if it is missing. */
@@ -187,7 +188,7 @@
         if ("true".equals(text) || "false".equals(text)) {
             return "true".equals(text);
         }
-        addMistake("true or false was expected", "write one of the two");
+        addError("true or false was expected", "write one of the two");
         return defaultFlag;
     }
 
@@ -208,11 +209,11 @@
             if (unit != null) {
                 return number * unit;
             }
-            addMistake(
+            addError(
                     quantity + " with its unit was expected, not \"" + text + "\"",
                     "write for example \"" + example + "\"");
         } catch (NumberFormatException malformed) {
-            addMistake(quantity + " was expected, not \"" + text + "\"", "write for example \"" + example + "\"");
+            addError(quantity + " was expected, not \"" + text + "\"", "write for example \"" + example + "\"");
         }
         return 0;
     }
@@ -222,13 +223,13 @@
     }
 
     /** Returns a duration in nanoseconds, written with its unit: us, ms, s, min or h. */
-    public long span() {
+    public long durationNanos() {
         return Math.round(numberWithUnit(SECONDS_BY_UNIT, "a span of time", "8 s") * 1e9);
     }
 
     /** Returns a duration in nanoseconds, or a default that is written with its unit; required if that is null. */
-    public long span(String defaultSpan) {
-        return raw != null ? span() : new ConfigValue(errors, path, line, defaultSpan).span();
+    public long durationNanos(String defaultSpan) {
+        return raw != null ? durationNanos() : new ConfigValue(errors, path, line, defaultSpan).durationNanos();
     }
 
     /** Returns a size in bytes, written with its unit: B, KB, MB or GB, in powers of ten. */
@@ -246,7 +247,7 @@
      *
      * @param defaultValue null if the key is required
      */
-    public <E extends Enum<E>> E word(Class<E> type, E defaultValue) {
+    public <E extends Enum<E>> E enumConstant(Class<E> type, E defaultValue) {
         if (raw == null && defaultValue != null) {
             return defaultValue;
         }
@@ -260,7 +261,7 @@
             words.add(word);
         }
         if (text != null) {
-            addMistake("unknown word \"" + text + "\"", "write one of " + String.join(", ", words));
+            addError("unknown word \"" + text + "\"", "write one of " + String.join(", ", words));
         }
         return defaultValue != null ? defaultValue : type.getEnumConstants()[0];
     }
@@ -271,7 +272,7 @@
             for (Map.Entry<?, ?> entry : map.entrySet()) {
                 ConfigValue inner = (ConfigValue) entry.getValue();
                 if (!readKeys.contains(entry.getKey())) {
-                    inner.addMistake("unknown key", "remove it" + alternatives());
+                    inner.addError("unknown key", "remove it" + alternatives());
                 } else {
                     inner.reportUnreadKeys();
                 }
@@ -288,8 +289,11 @@
                         + String.join(", ", readKeys.stream().sorted().toList());
     }
 
-    /** Ends reading of some sections of a file whose other sections are read elsewhere; throws like {@link #done()}. */
-    public void done(Set<String> sections) {
+    /**
+     * Ends reading of some sections of a file whose other sections are read elsewhere; throws like
+     * {@link #requireValid()}.
+     */
+    public void requireValid(Set<String> sections) {
         for (String section : sections) {
             at(section).reportUnreadKeys();
         }
@@ -297,7 +301,7 @@
     }
 
     /** Ends reading of a file; throws a {@link ConfigErrors.ConfigException} if there was any error. */
-    public void done() {
+    public void requireValid() {
         reportUnreadKeys();
         errors.throwIfAny();
     }
--- a/config/src/main/java/pearladder/config/YamlParser.java
+++ b/config/src/main/java/pearladder/config/YamlParser.java
@@ -23,7 +23,7 @@
     }
 
     /** Parses a file; throws a {@link ConfigErrors.ConfigException} if it can't be read or is not valid YAML. */
-    public static ConfigValue read(Path file) {
+    public static ConfigValue parse(Path file) {
         String text;
         try {
             text = Files.readString(file);
@@ -35,11 +35,11 @@
                     "the file can't be read",
                     "check that it exists, is UTF-8 and may be read")));
         }
-        return read(file.toString(), text);
+        return parse(file.toString(), text);
     }
 
     /** Parses a text; errors are reported with a file's name. */
-    public static ConfigValue read(String file, String text) {
+    public static ConfigValue parse(String file, String text) {
         ConfigErrors errors = new ConfigErrors(file);
         try (JsonParser parser = new YAMLFactory().createParser(text)) {
             YamlParser yaml = new YamlParser(parser, errors);
--- a/config/src/test/java/pearladder/config/YamlTest.java
+++ b/config/src/test/java/pearladder/config/YamlTest.java
@@ -17,28 +17,28 @@
 
     private static List<String> errors(String text, Consumer<ConfigValue> reader) {
         ConfigErrors.ConfigException found = assertThrows(ConfigErrors.ConfigException.class, () -> {
-            ConfigValue value = YamlParser.read("f.yaml", text);
+            ConfigValue value = YamlParser.parse("f.yaml", text);
             reader.accept(value);
-            value.done();
+            value.requireValid();
         });
         return found.getMessage().lines().toList();
     }
 
     @Test
     void valuesAreReadInBaseUnits() {
-        ConfigValue value = YamlParser.read(
+        ConfigValue value = YamlParser.parse(
                 "f.yaml", "a: 8 s\nb: 512 MB\nc: [1, 2]\nd: dark-blue\ne: 2.5\nf: true\ng: {h: x}\n" + "i: 1.5 ms\n");
-        assertEquals(8_000_000_000L, value.at("a").span());
+        assertEquals(8_000_000_000L, value.at("a").durationNanos());
         assertEquals(512_000_000L, value.at("b").bytes());
-        assertEquals(List.of(1, 2), value.at("c").each(v -> v.whole(0, 9)));
-        assertEquals(Colour.DARK_BLUE, value.at("d").word(Colour.class, null));
+        assertEquals(List.of(1, 2), value.at("c").each(v -> v.wholeNumber(0, 9)));
+        assertEquals(Colour.DARK_BLUE, value.at("d").enumConstant(Colour.class, null));
         assertEquals(2.5, value.at("e").number(0, 3));
         assertTrue(value.at("f").flag(false));
         assertEquals("x", value.at("g").at("h").text());
-        assertEquals(1_500_000L, value.at("i").span());
-        assertEquals(3, value.at("none").whole(3, 0, 9));
-        assertEquals(2_000_000_000L, value.at("nothing").span("2 s"));
-        value.done();
+        assertEquals(1_500_000L, value.at("i").durationNanos());
+        assertEquals(3, value.at("none").wholeNumber(3, 0, 9));
+        assertEquals(2_000_000_000L, value.at("nothing").durationNanos("2 s"));
+        value.requireValid();
     }
 
     @Test
@@ -51,9 +51,9 @@
                         "f.yaml:4: d: a list was expected; write \"- \" before each entry",
                         "f.yaml:5: f: unknown key; remove it, or write one of a, b, c, d, e"),
                 errors("a: 8\nb: 4\nc: green\nd: 1\nf: 2\n", value -> {
-                    value.at("a").span();
+                    value.at("a").durationNanos();
                     value.at("b").number(0, 3);
-                    value.at("c").word(Colour.class, null);
+                    value.at("c").enumConstant(Colour.class, null);
                     value.at("d").each(ConfigValue::text);
                     value.at("e").text("");
                 }));
@@ -64,8 +64,8 @@
         assertEquals(
                 List.of("f.yaml:2: a.b: a value is missing; write it after \"a.b: \""),
                 errors("x: 1\na: {c: 1}\n", value -> {
-                    value.at("x").whole(0, 1);
-                    value.at("a").at("c").whole(0, 1);
+                    value.at("x").wholeNumber(0, 1);
+                    value.at("a").at("c").wholeNumber(0, 1);
                     value.at("a").at("b").text();
                 }));
     }
@@ -76,13 +76,13 @@
         assertEquals(
                 List.of("f.yaml:3: a: duplicate key; remove one of the two"),
                 errors("a: 1\nb: 2\na: 3\n", value -> {}));
-        assertTrue(assertThrows(ConfigErrors.ConfigException.class, () -> YamlParser.read(Path.of("no/such.yaml")))
+        assertTrue(assertThrows(ConfigErrors.ConfigException.class, () -> YamlParser.parse(Path.of("no/such.yaml")))
                 .getMessage()
                 .startsWith("no/such.yaml:1: the file can't be read"));
     }
 
     @Test
     void anEmptyFileIsAnEmptyMap() {
-        assertEquals(List.of(), YamlParser.read("f.yaml", "").keys());
+        assertEquals(List.of(), YamlParser.parse("f.yaml", "").keys());
     }
 }
--- a/decisions/src/main/java/pearladder/connections/ConnectionEvent.java
+++ b/decisions/src/main/java/pearladder/connections/ConnectionEvent.java
@@ -21,7 +21,7 @@
             implements ConnectionEvent {}
 
     /** A worker connection was closed or could not be opened. */
-    record WorkerConnectionReleased(WorkerConnectionState connection) implements ConnectionEvent {}
+    record WorkerConnectionClosed(WorkerConnectionState connection) implements ConnectionEvent {}
 
     /** Periodic check of time limits; reported a few times a second. */
     record Tick() implements ConnectionEvent {}
--- a/decisions/src/main/java/pearladder/connections/ConnectionManager.java
+++ b/decisions/src/main/java/pearladder/connections/ConnectionManager.java
@@ -86,7 +86,7 @@
             onClientConnected(connected.connection(), actions);
         } else if (event instanceof ConnectionEvent.ClientDisconnected disconnected) {
             clientConnections.remove(disconnected.connection());
-        } else if (event instanceof ConnectionEvent.WorkerConnectionReleased closed) {
+        } else if (event instanceof ConnectionEvent.WorkerConnectionClosed closed) {
             workerConnections.remove(closed.connection());
         } else if (event instanceof ConnectionEvent.WorkerConnectionRequested requested) {
             onWorkerConnectionRequested(now, requested, actions);
--- a/decisions/src/main/java/pearladder/connections/GracefulShutdown.java
+++ b/decisions/src/main/java/pearladder/connections/GracefulShutdown.java
@@ -15,7 +15,7 @@
         /** Reject new requests; continue to process open ones. */
         REJECT,
         /** Answer every open request with a failure. */
-        ABANDON,
+        FAIL_OPEN_REQUESTS,
         /** Exit the process. */
         EXIT
     }
@@ -73,6 +73,6 @@
         if (isQuiet && outstanding.isEmpty() || isOutOfTime && !isLate) {
             return Step.EXIT;
         }
-        return now.isBefore(killedAt.minus(SLACK.times(2))) ? Step.REJECT : Step.ABANDON;
+        return now.isBefore(killedAt.minus(SLACK.times(2))) ? Step.REJECT : Step.FAIL_OPEN_REQUESTS;
     }
 }
--- a/decisions/src/main/java/pearladder/connections/InputTurn.java
+++ b/decisions/src/main/java/pearladder/connections/InputTurn.java
@@ -12,7 +12,7 @@
     /** A tenth of the 50 ms by which the platform allows a timer to be late. */
     private static final TimeSpan MAX_DURATION = TimeSpan.millis(5);
     /** Delay of the timer that ends a turn; the shortest one, so that a turn ends once the due timers have run. */
-    public static final TimeSpan PAUSE = TimeSpan.millis(1);
+    public static final TimeSpan TURN_END_DELAY = TimeSpan.millis(1);
 
     private MonotonicTime startedAt;
 
--- a/decisions/src/main/java/pearladder/delivery/DeliveryRules.java
+++ b/decisions/src/main/java/pearladder/delivery/DeliveryRules.java
@@ -29,7 +29,7 @@
     }
 
     /** Decides whether an attempt of a request, the first one or a retry, may be started. */
-    public Verdict onAttempt(RequestState request, MonotonicTime now) {
+    public Verdict checkAttempt(RequestState request, MonotonicTime now) {
         Verdict verdict = checkOpenRequest(request, now);
         if (!verdict.isAllowed()) {
             return verdict;
@@ -45,7 +45,7 @@
      *
      * @param sendBefore time until which the worker is known to be in service; null for no limit
      */
-    public Verdict onWrite(RequestState request, MonotonicTime sendBefore, MonotonicTime now) {
+    public Verdict checkWrite(RequestState request, MonotonicTime sendBefore, MonotonicTime now) {
         Verdict verdict = checkOpenRequest(request, now);
         return verdict.isAllowed() ? checkSend(sendBefore, now) : verdict;
     }
@@ -63,7 +63,7 @@
     }
 
     /** Decides whether the final answer may be sent; no request gets a second one. */
-    public Verdict onAnswer(RequestState request) {
+    public Verdict checkAnswer(RequestState request) {
         return request.completed() ? Verdict.REQUEST_COMPLETED : Verdict.ALLOWED;
     }
 
@@ -72,12 +72,12 @@
      *
      * @param sendBefore time until which the worker is known to be in service; null for no limit
      */
-    public Verdict onLoadRequest(boolean workerInService, MonotonicTime sendBefore, MonotonicTime now) {
+    public Verdict checkLoadRequest(boolean workerInService, MonotonicTime sendBefore, MonotonicTime now) {
         return workerInService ? checkSend(sendBefore, now) : Verdict.WORKER_NOT_IN_SERVICE;
     }
 
     /** Decides whether a client's connection may be closed or the router may exit: only without unanswered requests. */
-    public Verdict onClose(int unansweredRequests) {
+    public Verdict checkClose(int unansweredRequests) {
         return unansweredRequests == 0 ? Verdict.ALLOWED : Verdict.UNANSWERED_REQUESTS;
     }
 }
--- a/decisions/src/main/java/pearladder/routing/ReadinessLease.java
+++ b/decisions/src/main/java/pearladder/routing/ReadinessLease.java
@@ -49,7 +49,7 @@
 
     ReadinessLease(RouterState state) {
         this.state = state;
-        this.healthChecksAllowed = state.settings().attemptLimits().probes();
+        this.healthChecksAllowed = state.settings().attemptLimits().healthChecks();
         this.drainGrace = state.settings().responseGrace().drainGrace();
         this.sendDelay = state.settings().maxSendDelay().atMost(drainGrace.times(MAX_SEND_DELAY_SHARE));
         this.healthCheckTimeout = state.settings().attemptLimits().connectTimeout();
--- a/decisions/src/main/java/pearladder/routing/api/RoutingSettings.java
+++ b/decisions/src/main/java/pearladder/routing/api/RoutingSettings.java
@@ -61,7 +61,7 @@
             int maxAttempts,
             boolean hedging,
             boolean cancel,
-            boolean probes,
+            boolean healthChecks,
             boolean peers,
             boolean retryAfter,
             TimeSpan maxRetryAfter,
--- a/decisions/src/test/java/pearladder/connections/GracefulShutdownTest.java
+++ b/decisions/src/test/java/pearladder/connections/GracefulShutdownTest.java
@@ -60,7 +60,7 @@
         OutstandingWork everything = new OutstandingWork(3, 100, 2);
         TimeSpan longest = TimeSpan.millis(longestDeadlineMillis);
         assertEquals(Step.REJECT, stepAt(longest, killedAtMillis - 101, null, everything));
-        assertEquals(Step.ABANDON, stepAt(longest, killedAtMillis - 100, null, everything));
+        assertEquals(Step.FAIL_OPEN_REQUESTS, stepAt(longest, killedAtMillis - 100, null, everything));
         assertEquals(Step.EXIT, stepAt(longest, killedAtMillis - 50, null, everything));
     }
 
@@ -80,7 +80,7 @@
         OutstandingWork everything = new OutstandingWork(3, 100, 2);
         GracefulShutdown shutdown = new GracefulShutdown(SIGNALLED_AT, TimeSpan.seconds(3));
         assertEquals(Step.REJECT, shutdown.on(SIGNALLED_AT.plus(TimeSpan.millis(3500)), null, everything));
-        assertEquals(Step.ABANDON, shutdown.on(SIGNALLED_AT.plus(TimeSpan.millis(3680)), null, everything));
+        assertEquals(Step.FAIL_OPEN_REQUESTS, shutdown.on(SIGNALLED_AT.plus(TimeSpan.millis(3680)), null, everything));
         assertEquals(Step.EXIT, shutdown.on(SIGNALLED_AT.plus(TimeSpan.millis(3690)), null, everything));
     }
 }
--- a/decisions/src/test/java/pearladder/delivery/DeliveryRulesTest.java
+++ b/decisions/src/test/java/pearladder/delivery/DeliveryRulesTest.java
@@ -33,7 +33,7 @@
     void attemptIsAllowed(
             boolean completed, int attempts, boolean executed, Idempotency idempotency, long now, Verdict expected) {
         RequestState request = request(completed, attempts, executed, idempotency);
-        assertEquals(expected, rules.onAttempt(request, new MonotonicTime(now)));
+        assertEquals(expected, rules.checkAttempt(request, new MonotonicTime(now)));
     }
 
     @ParameterizedTest
@@ -48,19 +48,19 @@
     void firstByteIsWrittenOnlyForAnOpenRequestBeforeItsDeadlineToAWorkerKnownToBeInService(
             boolean completed, Long sendBefore, long now, Verdict expected) {
         RequestState request = request(completed, 1, true, Idempotency.BINDING);
-        assertEquals(expected, rules.onWrite(request, time(sendBefore), new MonotonicTime(now)));
+        assertEquals(expected, rules.checkWrite(request, time(sendBefore), new MonotonicTime(now)));
     }
 
     @Test
     void requestIsAnsweredOnceAndAlsoAfterItsDeadline() {
-        assertEquals(Verdict.ALLOWED, rules.onAnswer(request(false, 1, true, Idempotency.BINDING)));
-        assertEquals(Verdict.REQUEST_COMPLETED, rules.onAnswer(request(true, 1, true, Idempotency.BINDING)));
+        assertEquals(Verdict.ALLOWED, rules.checkAnswer(request(false, 1, true, Idempotency.BINDING)));
+        assertEquals(Verdict.REQUEST_COMPLETED, rules.checkAnswer(request(true, 1, true, Idempotency.BINDING)));
     }
 
     @Test
     void connectionWithUnansweredRequestsIsNotClosed() {
-        assertEquals(Verdict.ALLOWED, rules.onClose(0));
-        assertEquals(Verdict.UNANSWERED_REQUESTS, rules.onClose(1));
+        assertEquals(Verdict.ALLOWED, rules.checkClose(0));
+        assertEquals(Verdict.UNANSWERED_REQUESTS, rules.checkClose(1));
     }
 
     @ParameterizedTest
@@ -71,7 +71,7 @@
         "true, 500, 500, WORKER_NOT_CONFIRMED"
     })
     void loadRequestsGoToWorkersKnownToBeInServiceOnly(boolean inService, Long sendBefore, long now, Verdict expected) {
-        assertEquals(expected, rules.onLoadRequest(inService, time(sendBefore), new MonotonicTime(now)));
+        assertEquals(expected, rules.checkLoadRequest(inService, time(sendBefore), new MonotonicTime(now)));
     }
 
     private static MonotonicTime time(Long nanos) {
--- a/emulator/src/main/java/pearladder/emulator/FleetPlan.java
+++ b/emulator/src/main/java/pearladder/emulator/FleetPlan.java
@@ -45,20 +45,20 @@
         ConfigValue modelStore = fleet.at("shelf");
         Map<String, WorkerKind> kinds = fleet.at("kinds").eachKey(FleetPlan::readWorkerKind);
         if (kinds.isEmpty()) {
-            fleet.at("kinds").addMistake("a kind of engine is missing", "write one with its cores and memory");
+            fleet.at("kinds").addError("a kind of engine is missing", "write one with its cores and memory");
         }
         List<PlannedWorker> workers = new ArrayList<>();
         for (ConfigValue group : fleet.at("engines").each(value -> value)) {
             workers.addAll(readGroup(group, kinds));
         }
         if (workers.isEmpty()) {
-            fleet.at("engines").addMistake("no engine is listed", "write \"- {name: engine, count: 3, kind: ...}\"");
+            fleet.at("engines").addError("no engine is listed", "write \"- {name: engine, count: 3, kind: ...}\"");
         }
         return new FleetPlan(
-                fleet.at("seed").whole(1, 0, Integer.MAX_VALUE),
+                fleet.at("seed").wholeNumber(1, 0, Integer.MAX_VALUE),
                 modelStore.at("capacity").number(8, 0.1, 1e6),
-                modelStore.at("limit").whole(64, 1, 1_000_000),
-                fleet.at("list").at("lag").span("500 ms"),
+                modelStore.at("limit").wholeNumber(64, 1, 1_000_000),
+                fleet.at("list").at("lag").durationNanos("500 ms"),
                 fleet.at("cables").flag(false),
                 fleet.at("models").each(FleetPlan::readModelKind),
                 workers);
@@ -69,11 +69,11 @@
         String name = group.at("name").text();
         String kind = group.at("kind").text();
         List<String> zones = group.at("halls").each(ConfigValue::text);
-        int perCell = group.at("per_cell").whole(4, 1, MAX_WORKERS_PER_GROUP);
-        int count = group.at("count").whole(1, 1, MAX_WORKERS_PER_GROUP);
+        int perCell = group.at("per_cell").wholeNumber(4, 1, MAX_WORKERS_PER_GROUP);
+        int count = group.at("count").wholeNumber(1, 1, MAX_WORKERS_PER_GROUP);
         if (!kinds.containsKey(kind)) {
             group.at("kind")
-                    .addMistake("unknown kind \"" + kind + "\"", "write one of " + String.join(", ", kinds.keySet()));
+                    .addError("unknown kind \"" + kind + "\"", "write one of " + String.join(", ", kinds.keySet()));
             return List.of();
         }
         List<PlannedWorker> workers = new ArrayList<>();
@@ -90,32 +90,33 @@
         ConfigValue cold = kind.at("cold");
         return new WorkerKind(
                 name,
-                kind.at("cores").whole(1, 1024),
+                kind.at("cores").wholeNumber(1, 1024),
                 kind.at("speed").number(1, 0.01, 100),
                 kind.at("memory").bytes() / BYTES_PER_MB,
-                kind.at("loaders").whole(4, 1, 1000),
-                kind.at("queue").whole(64, 0, 100_000),
-                kind.at("kept").span("10 s"),
+                kind.at("loaders").wholeNumber(4, 1, 1000),
+                kind.at("queue").wholeNumber(64, 0, 100_000),
+                kind.at("kept").durationNanos("10 s"),
                 kind.at("own_copies").flag(true),
                 kind.at("images").flag(false),
                 kind.at("cancel_stops").flag(true),
-                kind.at("remembered").span("8 s"),
-                kind.at("remembered_by").word(WorkerKind.IdempotencyScope.class, WorkerKind.IdempotencyScope.ALL),
+                kind.at("remembered").durationNanos("8 s"),
+                kind.at("remembered_by")
+                        .enumConstant(WorkerKind.IdempotencyScope.class, WorkerKind.IdempotencyScope.ALL),
                 cold.at("start_share").number(0.3, 0.01, 1),
-                cold.at("warm_after").span("15 s"),
+                cold.at("warm_after").durationNanos("15 s"),
                 cold.at("fall_multiple").number(2.5, 1, 100),
-                cold.at("fall_after").span("1500 ms"),
-                kind.at("reports_every").span("300 ms"));
+                cold.at("fall_after").durationNanos("1500 ms"),
+                kind.at("reports_every").durationNanos("300 ms"));
     }
 
     private static ModelKind readModelKind(ConfigValue model) {
         return new ModelKind(
                 model.at("name").text(),
                 model.at("memory").bytes() / BYTES_PER_MB,
-                model.at("lanes").whole(1, 1, 1000),
+                model.at("lanes").wholeNumber(1, 1, 1000),
                 readLoadPhase(model, "fetch"),
                 readLoadPhase(model, "start"),
-                model.at("work").span("20 ms"),
+                model.at("work").durationNanos("20 ms"),
                 model.at("failing").number(0, 0, 1),
                 model.at("times").number(1, 0.01, 1000));
     }
@@ -127,17 +128,17 @@
      */
     private static long readLoadPhase(ConfigValue model, String phase) {
         if (!model.at("load").isGiven()) {
-            return model.at(phase).span("0 s");
+            return model.at(phase).durationNanos("0 s");
         }
         if (model.at("fetch").isGiven() || model.at("start").isGiven()) {
             model.at("load")
-                    .addMistake(
+                    .addError(
                             "a load is told, and its fetch or start beside it",
                             "keep load and fetch_share, or fetch and start");
         }
         double fetchShare = model.at("fetch_share").number(0.75, 0, 1);
         double share = phase.equals("fetch") ? fetchShare : 1 - fetchShare;
-        return Math.round(model.at("load").span() * share);
+        return Math.round(model.at("load").durationNanos() * share);
     }
 
     /** The kind of the model of this name, or null where none matches; the first that matches counts. */
--- a/eventlog/src/main/java/pearladder/eventlog/EventLog.java
+++ b/eventlog/src/main/java/pearladder/eventlog/EventLog.java
@@ -21,11 +21,11 @@
      * The result of a compaction.
      *
      * @param files number of segments that were rewritten
-     * @param before their size before the compaction, in bytes
-     * @param after their size after the compaction, in bytes
-     * @param details number of detail entries that were deleted
+     * @param bytesBefore their size before the compaction, in bytes
+     * @param bytesAfter their size after the compaction, in bytes
+     * @param deletedDetails number of detail entries that were deleted
      */
-    public record Compacted(int files, long before, long after, long details) {}
+    public record CompactionResult(int files, long bytesBefore, long bytesAfter, long deletedDetails) {}
 
     private static final String LOCK_FILE_NAME = "lock";
     /** Files of a compaction that was interrupted by a crash. */
@@ -170,7 +170,7 @@
      *
      * @return number of segments deleted
      */
-    public int retain() throws IOException {
+    public int deleteExpiredSegments() throws IOException {
         List<Path> segments = EventLogReader.segments(directory);
         long[] ages = ages(segments);
         long allBytes = segments.stream().mapToLong(LogSegment::sizeBytes).sum();
@@ -212,7 +212,7 @@
      *
      * @param maxFiles maximum number of segments rewritten by this call
      */
-    public Compacted compact(int maxFiles) throws IOException {
+    public CompactionResult compact(int maxFiles) throws IOException {
         long detailCutoffMillis = newest.lastEntryMillis() - retention.maxDetailAgeMillis();
         int files = 0;
         long bytesBefore = 0;
@@ -231,7 +231,7 @@
                 details += oldDetails;
             }
         }
-        return new Compacted(files, bytesBefore, bytesAfter, details);
+        return new CompactionResult(files, bytesBefore, bytesAfter, details);
     }
 
     /** Counts the detail entries of a segment whose last entry is older than a time; 0 if the last entry is newer. */
--- a/eventlog/src/main/java/pearladder/eventlog/EventLogReader.java
+++ b/eventlog/src/main/java/pearladder/eventlog/EventLogReader.java
@@ -25,7 +25,7 @@
      * @param bytes their size in bytes
      * @param damage a line for each damaged file or batch, with the entries that are lost
      */
-    public record Verified(int files, long batches, long entries, long bytes, List<String> damage) {}
+    public record VerificationResult(int files, long batches, long entries, long bytes, List<String> damage) {}
 
     private static final String DAMAGED_PATTERN = "records-.*\\.damaged";
 
@@ -115,7 +115,7 @@
     }
 
     /** Checks every file and batch, and that the entries' numbers are consecutive. */
-    public Verified verify() throws IOException {
+    public VerificationResult verify() throws IOException {
         LogVerification verification = new LogVerification();
         List<Path> segments = segments(directory);
         for (Path file : files(directory, DAMAGED_PATTERN)) {
--- a/eventlog/src/main/java/pearladder/eventlog/LogVerification.java
+++ b/eventlog/src/main/java/pearladder/eventlog/LogVerification.java
@@ -54,7 +54,7 @@
         damage.add(file.getFileName() + ": " + problem);
     }
 
-    EventLogReader.Verified result(int files) {
-        return new EventLogReader.Verified(files, batches, entries, bytes, damage);
+    EventLogReader.VerificationResult result(int files) {
+        return new EventLogReader.VerificationResult(files, batches, entries, bytes, damage);
     }
 }
--- a/eventlog/src/main/java/pearladder/eventlog/metering/Metering.java
+++ b/eventlog/src/main/java/pearladder/eventlog/metering/Metering.java
@@ -52,10 +52,10 @@
      * The result of reading event logs.
      *
      * @param entries number of entries in all logs
-     * @param tooLate number of entries that were skipped because they were too late
+     * @param lateEntries number of entries that were skipped because they were too late
      * @param idleTimeoutMillis time for which idle instances stay loaded
      */
-    public record Read(long entries, long tooLate, long idleTimeoutMillis) {}
+    public record MeteringResult(long entries, long lateEntries, long idleTimeoutMillis) {}
 
     private Metering() {}
 
@@ -65,7 +65,8 @@
      * @param directories directories of the logs, one for each router
      * @param consumer receives the shares by interval, in order of time
      */
-    public static Read read(List<Path> directories, Consumer<UsageShare> consumer) throws IOException {
+    public static MeteringResult computeShares(List<Path> directories, Consumer<UsageShare> consumer)
+            throws IOException {
         List<Source> sources = new ArrayList<>();
         try {
             for (Path directory : directories) {
@@ -77,7 +78,7 @@
         }
     }
 
-    private static Read merge(List<Source> sources, Consumer<UsageShare> consumer) throws IOException {
+    private static MeteringResult merge(List<Source> sources, Consumer<UsageShare> consumer) throws IOException {
         long idleTimeout = idleTimeoutMillis(sources);
         UsageAccounting accounting = new UsageAccounting(INTERVAL_MILLIS, idleTimeout, MAX_LATENESS_MILLIS);
         PriorityQueue<Source> oldestFirst = new PriorityQueue<>(
@@ -100,7 +101,7 @@
             }
         }
         accounting.finish(newest + idleTimeout).forEach(consumer);
-        return new Read(entries, accounting.lateObservationCount(), idleTimeout);
+        return new MeteringResult(entries, accounting.lateObservationCount(), idleTimeout);
     }
 
     /** Returns the longest idle timeout in the first entries of the logs. */
--- a/eventlog/src/test/java/pearladder/eventlog/EarlierVersionLogTest.java
+++ b/eventlog/src/test/java/pearladder/eventlog/EarlierVersionLogTest.java
@@ -67,7 +67,7 @@
 
     @Test
     void verificationFindsNoDamage() throws IOException {
-        EventLogReader.Verified verified = new EventLogReader(directory).verify();
+        EventLogReader.VerificationResult verified = new EventLogReader(directory).verify();
         assertEquals(List.of(), verified.damage());
         assertEquals(124, verified.entries());
     }
--- a/eventlog/src/test/java/pearladder/eventlog/EventLogTest.java
+++ b/eventlog/src/test/java/pearladder/eventlog/EventLogTest.java
@@ -147,7 +147,7 @@
             int files = EventLogReader.segments(directory).size();
             assertTrue(files > 10, files + " files");
             assertEquals(40, readAll(directory).size());
-            assertTrue(log.retain() > 0);
+            assertTrue(log.deleteExpiredSegments() > 0);
             List<LogEntry> remaining = readAll(directory);
             assertTrue(remaining.size() < 40 && !remaining.isEmpty());
             assertEquals(39, remaining.get(remaining.size() - 1).amount());
@@ -163,7 +163,7 @@
             }
             log.append(List.of(ended(365L * 86_400_000, 8)));
             log.append(List.of(ended(365L * 86_400_000 + 1, 9)));
-            assertEquals(0, log.retain());
+            assertEquals(0, log.deleteExpiredSegments());
             assertEquals(10, readAll(directory).size());
         }
     }
@@ -177,14 +177,14 @@
             }
             List<LogEntry> before = readAll(directory);
             Files.write(directory.resolve("records-0000000000000001.new"), new byte[100]);
-            EventLog.Compacted compacted = log.compact(100);
-            assertTrue(compacted.details() > 0);
+            EventLog.CompactionResult compacted = log.compact(100);
+            assertTrue(compacted.deletedDetails() > 0);
             List<LogEntry> after = readAll(directory);
             assertEquals(
                     before.stream().filter(entry -> !entry.type().isDetail()).toList(),
                     after.stream().filter(entry -> !entry.type().isDetail()).toList());
             assertTrue(after.stream().anyMatch(entry -> entry.type().isDetail()), "recent detail entries are kept");
-            assertEquals(20 - compacted.details(), after.size());
+            assertEquals(20 - compacted.deletedDetails(), after.size());
             List<Long> numbers = new ArrayList<>();
             new EventLogReader(directory).read(0, (number, entry) -> {
                 numbers.add(number);
--- a/eventlog/src/test/java/pearladder/eventlog/metering/MeteringTest.java
+++ b/eventlog/src/test/java/pearladder/eventlog/metering/MeteringTest.java
@@ -44,8 +44,9 @@
         Map<String, Long> sums = new TreeMap<>();
         assertEquals(
                 0,
-                Metering.read(directories, share -> sums.merge(share.tenant(), share.megabyteMillis(), Long::sum))
-                        .tooLate());
+                Metering.computeShares(
+                                directories, share -> sums.merge(share.tenant(), share.megabyteMillis(), Long::sum))
+                        .lateEntries());
         sums.values().removeIf(amount -> amount == 0);
         return sums;
     }
@@ -99,8 +100,8 @@
                 entry(1800, LogEntryType.WORK, "m", "a", "e1", "", 9),
                 entry(-1800, LogEntryType.WORK, "m", "a", "e1", "", 9));
         List<UsageShare> shares = new ArrayList<>();
-        Metering.Read read = Metering.read(List.of(router), shares::add);
-        assertEquals(1, read.tooLate());
+        Metering.MeteringResult read = Metering.computeShares(List.of(router), shares::add);
+        assertEquals(1, read.lateEntries());
         assertEquals(
                 100L * 15_000,
                 shares.stream()
--- a/kserve-router/src/main/java/pearladder/router/kserve/EventRecorder.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/EventRecorder.java
@@ -129,16 +129,16 @@
 
     /** Runs off the event loop, on the thread that writes the log. */
     private ResourceCost applyRetention() throws IOException {
-        int deleted = log.retain();
-        EventLog.Compacted compacted = log.compact(FILES_PER_COMPACTION);
+        int deleted = log.deleteExpiredSegments();
+        EventLog.CompactionResult compacted = log.compact(FILES_PER_COMPACTION);
         if (deleted + compacted.files() > 0) {
             LOG.atInfo()
                     .addKeyValue("gone", deleted)
                     .addKeyValue("compacted", compacted.files())
-                    .addKeyValue("details", compacted.details())
+                    .addKeyValue("details", compacted.deletedDetails())
                     .log("event log files were deleted or compacted");
         }
-        return new ResourceCost(0, compacted.before() + compacted.after(), 0);
+        return new ResourceCost(0, compacted.bytesBefore() + compacted.bytesAfter(), 0);
     }
 
     // ---- recorded events
--- a/kserve-router/src/main/java/pearladder/router/kserve/HttpWorkerResponse.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/HttpWorkerResponse.java
@@ -91,6 +91,10 @@
             return null;
         }
         return new Event.WorkerLoadReport(
-                report.held(), report.waiting(), report.busy(), report.loads(), report.pinned());
+                report.requestsInFlight(),
+                report.queuedRequests(),
+                report.coreUtilization(),
+                report.pendingLoads(),
+                report.pinnedMemoryShare());
     }
 }
--- a/kserve-router/src/main/java/pearladder/router/kserve/RolloutPlanParser.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RolloutPlanParser.java
@@ -14,7 +14,7 @@
 
     /** Parses a file; throws {@link pearladder.config.ConfigErrors.ConfigException} with every mistake in it. */
     public static List<RolloutPlan> read(Path file) {
-        return read(YamlParser.read(file));
+        return read(YamlParser.parse(file));
     }
 
     static List<RolloutPlan> read(ConfigValue file) {
@@ -23,11 +23,11 @@
         String from = rollout.at("from").text("");
         String to = rollout.at("to").text();
         List<Double> steps = rollout.at("steps").each(step -> step.number(0, 1e9));
-        TimeSpan hold = new TimeSpan(rollout.at("hold").span("60 s"));
-        long leastRequests = rollout.at("least_calls").whole(200, 0, Integer.MAX_VALUE);
+        TimeSpan hold = new TimeSpan(rollout.at("hold").durationNanos("60 s"));
+        long leastRequests = rollout.at("least_calls").wholeNumber(200, 0, Integer.MAX_VALUE);
         RolloutPlan.Gate gate = gate(rollout.at("gate"));
         RolloutPlan.Breach onBreach =
-                rollout.at("on_breach").word(RolloutPlan.Breach.class, RolloutPlan.Breach.ROLL_BACK);
+                rollout.at("on_breach").enumConstant(RolloutPlan.Breach.class, RolloutPlan.Breach.ROLL_BACK);
         List<RolloutPlan> plans = models.stream()
                 .map(model -> new RolloutPlan(model, from, to, steps, hold, leastRequests, gate, onBreach))
                 .toList();
@@ -35,7 +35,7 @@
             // the plans differ only in their models
             reportFaults(plans.get(0), rollout);
         }
-        file.done();
+        file.requireValid();
         return plans;
     }
 
@@ -45,7 +45,7 @@
             models.add(rollout.at("model").text());
         }
         if (models.isEmpty()) {
-            rollout.at("model").addMistake("no model is named", "write \"model: NAME\", or \"models: [NAME, ...]\"");
+            rollout.at("model").addError("no model is named", "write \"model: NAME\", or \"models: [NAME, ...]\"");
         }
         return models;
     }
@@ -63,7 +63,7 @@
             for (String key : fault.key().split("\\.")) {
                 value = value.at(key);
             }
-            value.addMistake(fault.problem(), fault.remedy());
+            value.addError(fault.problem(), fault.remedy());
         }
     }
 }
--- a/kserve-router/src/main/java/pearladder/router/kserve/Router.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/Router.java
@@ -377,6 +377,6 @@
      * could not prove that they are ready during a discovery outage.
      */
     private boolean confirmsEndpointList() {
-        return config.routingSettings().attemptLimits().probes();
+        return config.routingSettings().attemptLimits().healthChecks();
     }
 }
--- a/kserve-router/src/main/java/pearladder/router/kserve/RouterConfigParser.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RouterConfigParser.java
@@ -19,7 +19,7 @@
 
     /** Parses a file; throws {@link pearladder.config.ConfigErrors.ConfigException} with every mistake in it. */
     public static RouterConfig read(Path file) {
-        return read(YamlParser.read(file));
+        return read(YamlParser.parse(file));
     }
 
     /**
@@ -50,14 +50,14 @@
                 span(router.at("stop_within"), "10 s"),
                 retention(file.at("records")));
         checkIdleTimeout(file.at("limits").at("idle"), config);
-        file.done();
+        file.requireValid();
         return config;
     }
 
     private static String name(ConfigValue value) {
         String name = value.text();
         if (!name.matches(NAME_PATTERN)) {
-            value.addMistake("a name has 1 to 64 letters, digits, dots, hyphens or underscores", "change it");
+            value.addError("a name has 1 to 64 letters, digits, dots, hyphens or underscores", "change it");
         }
         return name;
     }
@@ -66,14 +66,14 @@
         return new RouterConfig.Limits(
                 limits.at("payload").bytes("16 MB"),
                 limits.at("answer").bytes("64 MB"),
-                limits.at("open_calls").whole(20_000, 1, 10_000_000),
+                limits.at("open_calls").wholeNumber(20_000, 1, 10_000_000),
                 span(limits.at("body_within"), "10 s"),
                 span(limits.at("idle"), "120 s"));
     }
 
     private static RouterConfig.Connections connections(ConfigValue connections, TimeSpan connectTimeout) {
         return new RouterConfig.Connections(
-                connections.at("per_engine").whole(256, 1, 65_535),
+                connections.at("per_engine").wholeNumber(256, 1, 65_535),
                 connectTimeout,
                 span(connections.at("idle"), "30 s"));
     }
@@ -81,7 +81,7 @@
     private static void checkIdleTimeout(ConfigValue idle, RouterConfig config) {
         for (RequestClass requestClass : config.routingSettings().requestClasses()) {
             if (!config.limits().idleTimeout().isLongerThan(requestClass.deadline())) {
-                idle.addMistake(
+                idle.addError(
                         "the idle time of client connections is not longer than the abandon time of category "
                                 + requestClass.name(),
                         "make it longer, or the connections of waiting clients are closed");
@@ -102,7 +102,7 @@
                 span(records.at("details"), "604800 s").toMillis());
         if (retention.maxBytes() < 2 * retention.segmentBytes()) {
             records.at("all")
-                    .addMistake(
+                    .addError(
                             "the limit for all records is less than two files", "make it larger, or \"file\" smaller");
         }
         return retention;
@@ -116,7 +116,7 @@
                 || !port.matches(PORT_PATTERN)
                 || Integer.parseInt(port) > MAX_PORT
                 || !anyPort && port.equals("0")) {
-            value.addMistake(
+            value.addError(
                     "an address with its port was expected, not \"" + text + "\"",
                     "write for example \"127.0.0.1:8080\"");
             return new RouterConfig.Address("127.0.0.1", 0);
@@ -127,7 +127,7 @@
     private static List<RouterConfig.ModelSettings> models(ConfigValue models, RoutingSettings settings) {
         List<RouterConfig.ModelSettings> parsed = models.each(model -> model(model, settings));
         if (parsed.isEmpty()) {
-            models.addMistake("no model is named", "write \"- {name: \\\"*\\\", memory: 400 MB, lanes: 2}\"");
+            models.addError("no model is named", "write \"- {name: \\\"*\\\", memory: 400 MB, lanes: 2}\"");
         }
         return parsed;
     }
@@ -138,19 +138,18 @@
                 settings.requestClasses().stream().map(RequestClass::name).toList();
         if (requestClass != null && !known.contains(requestClass)) {
             model.at("category")
-                    .addMistake(
-                            "unknown category \"" + requestClass + "\"", "write one of " + String.join(", ", known));
+                    .addError("unknown category \"" + requestClass + "\"", "write one of " + String.join(", ", known));
         }
         ConfigValue typicalLoadTime = model.at("usual_load");
         return new RouterConfig.ModelSettings(
                 model.at("name").text(),
-                model.at("lanes").whole(1, 1, 100_000),
+                model.at("lanes").wholeNumber(1, 1, 100_000),
                 model.at("memory").bytes() / 1e6,
-                typicalLoadTime.isGiven() ? new TimeSpan(typicalLoadTime.span()) : null,
+                typicalLoadTime.isGiven() ? new TimeSpan(typicalLoadTime.durationNanos()) : null,
                 requestClass);
     }
 
     private static TimeSpan span(ConfigValue value, String defaultSpan) {
-        return new TimeSpan(value.span(defaultSpan));
+        return new TimeSpan(value.durationNanos(defaultSpan));
     }
 }
--- a/kserve-router/src/main/java/pearladder/router/kserve/RoutingSettingsParser.java
+++ b/kserve-router/src/main/java/pearladder/router/kserve/RoutingSettingsParser.java
@@ -33,8 +33,8 @@
         List<Tenant> tenants = tenants(file.at("accounts"));
         List<Double> workerMemoryMb = file.at("copies").at("engine_memory").each(kind -> kind.bytes() / 1e6);
         return new RoutingSettings(
-                router.at("number").whole(0, 0, 1_000_000),
-                router.at("peers").whole(1, 1, 1_000_000),
+                router.at("number").wholeNumber(0, 0, 1_000_000),
+                router.at("peers").wholeNumber(1, 1, 1_000_000),
                 router.at("hall").text(""),
                 span(router.at("tick"), "5 ms"),
                 requestClasses,
@@ -53,7 +53,7 @@
         List<RequestClass> requestClasses = new ArrayList<>(
                 section.eachKey(RoutingSettingsParser::requestClass).values());
         if (requestClasses.isEmpty()) {
-            section.addMistake("no category is named", "write one with its expected and abandon time and its effect");
+            section.addError("no category is named", "write one with its expected and abandon time and its effect");
         }
         return requestClasses;
     }
@@ -61,14 +61,14 @@
     private static RequestClass requestClass(String name, ConfigValue section) {
         TimeSpan latencyObjective = span(section.at("expected"), null);
         TimeSpan deadline = span(section.at("abandon"), null);
-        Idempotency idempotency = section.at("effect").word(Idempotency.class, null);
+        Idempotency idempotency = section.at("effect").enumConstant(Idempotency.class, null);
         TimeSpan deduplicationWindow = span(section.at("remembered"), "0 s");
         if (deadline.nanos() > 0 && latencyObjective.isLongerThan(deadline)) {
-            section.at("expected").addMistake("the expected time is longer than the abandon time", "make it shorter");
+            section.at("expected").addError("the expected time is longer than the abandon time", "make it shorter");
         }
         if (idempotency == Idempotency.FINGERPRINTED && deduplicationWindow.nanos() == 0) {
             section.at("remembered")
-                    .addMistake(
+                    .addError(
                             "a fingerprinted category needs the time for which repeats are dropped",
                             "write for example \"remembered: 8 s\"");
         }
@@ -79,7 +79,7 @@
                 section.at("credit").number(1, 0, 1e9),
                 section.at("late_credit").number(0, 0, 1),
                 idempotency,
-                section.at("group").word(DeduplicationScope.class, DeduplicationScope.ALL),
+                section.at("group").enumConstant(DeduplicationScope.class, DeduplicationScope.ALL),
                 deduplicationWindow,
                 false,
                 section.at("expected_stretch").number(0, 0, 1000));
@@ -90,7 +90,7 @@
                 new ArrayList<>(section.eachKey(RoutingSettingsParser::tenant).values());
         double shares = tenants.stream().mapToDouble(Tenant::share).sum();
         if (shares > MAX_SUM_OF_SHARES) {
-            section.addMistake(String.format("the shares add up to %.2f", shares), "make it 1 at the most");
+            section.addError(String.format("the shares add up to %.2f", shares), "make it 1 at the most");
         }
         return tenants;
     }
@@ -102,7 +102,7 @@
 
     private static AttemptLimits attemptLimits(ConfigValue limits, TimeSpan connectTimeout) {
         return new AttemptLimits(
-                limits.at("legs").whole(3, 1, 100),
+                limits.at("legs").wholeNumber(3, 1, 100),
                 limits.at("second_legs").flag(false),
                 limits.at("cancel").flag(true),
                 limits.at("probes").flag(false),
@@ -156,6 +156,6 @@
 
     /** Parses a span of time; the key is required where the default is null. */
     private static TimeSpan span(ConfigValue value, String defaultSpan) {
-        return new TimeSpan(value.span(defaultSpan));
+        return new TimeSpan(value.durationNanos(defaultSpan));
     }
 }
--- a/kserve-router/src/test/java/pearladder/router/kserve/RolloutClientTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/RolloutClientTest.java
@@ -14,7 +14,7 @@
 /** An operator's commands to several routers, and the parser of rollout plans. */
 class RolloutClientTest {
     private static List<RolloutPlan> plan(String from, String to) {
-        return RolloutPlanParser.read(YamlParser.read(
+        return RolloutPlanParser.read(YamlParser.parse(
                 "p.yaml",
                 "release: {model: pair-a, from: \"" + from + "\", to: \"" + to + "\", steps: [0.5, 1], hold: 10 s}"));
     }
@@ -79,7 +79,7 @@
         List<String> lines = assertThrows(
                         ConfigErrors.ConfigException.class,
                         () -> RolloutPlanParser.read(
-                                YamlParser.read(
+                                YamlParser.parse(
                                         "p.yaml",
                                         """
                 release:
--- a/kserve-router/src/test/java/pearladder/router/kserve/RouterHarness.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/RouterHarness.java
@@ -74,7 +74,7 @@
     }
 
     RouterHarness(String fleet, String config) {
-        this(FleetPlan.read(YamlParser.read("fleet", fleet)), config);
+        this(FleetPlan.read(YamlParser.parse("fleet", fleet)), config);
     }
 
     /** Starts a router to which discovery lists only these workers. */
@@ -127,7 +127,9 @@
                 + ", listen: \"127.0.0.1:0\", admin: \"127.0.0.1:0\", hall: east, data: \"" + directory.resolve(name)
                 + "\", stop_within: 2 s}\nlist: {address: \"" + discoveryAddress + "\", silence: 1500 ms}\n";
         return await(Router.start(
-                        RouterConfigParser.read(YamlParser.read("router", head + config)), StickyFirstFitPolicy::new, 5)
+                        RouterConfigParser.read(YamlParser.parse("router", head + config)),
+                        StickyFirstFitPolicy::new,
+                        5)
                 .toCompletionStage()
                 .toCompletableFuture());
     }
--- a/kserve-router/src/test/java/pearladder/router/kserve/RouterLifecycleTest.java
+++ b/kserve-router/src/test/java/pearladder/router/kserve/RouterLifecycleTest.java
@@ -110,7 +110,7 @@
     @Test
     void aPortInUseFailsTheStartWithAReason() {
         try (RouterHarness harness = new RouterHarness(1)) {
-            RouterConfig second = RouterConfigParser.read(YamlParser.read(
+            RouterConfig second = RouterConfigParser.read(YamlParser.parse(
                     "second",
                     "router: {name: r9, listen: \"127.0.0.1:"
                             + harness.router.port() + "\", data: \"" + harness.directory.resolve("r9")
--- a/kserve/src/main/java/pearladder/kserve/LoadReport.java
+++ b/kserve/src/main/java/pearladder/kserve/LoadReport.java
@@ -6,13 +6,18 @@
  * A worker's load report, sent with its responses: "held=3;waiting=1;busy=0.50;loads=1;pinned=0.25". A field that is
  * missing or not a number is read as NaN, because an invalid report must not make a request fail.
  *
- * @param held number of requests in flight
- * @param waiting number of queued requests
- * @param busy share of the cores in use, 0 to 1
- * @param loads number of loads in progress or queued
- * @param pinned share of the memory that can't be freed, 0 to 1
+ * @param requestsInFlight number of requests in flight
+ * @param queuedRequests number of queued requests
+ * @param coreUtilization share of the cores in use, 0 to 1
+ * @param pendingLoads number of loads in progress or queued
+ * @param pinnedMemoryShare share of the memory that can't be freed, 0 to 1
  */
-public record LoadReport(double held, double waiting, double busy, double loads, double pinned) {
+public record LoadReport(
+        double requestsInFlight,
+        double queuedRequests,
+        double coreUtilization,
+        double pendingLoads,
+        double pinnedMemoryShare) {
     private static final double MAX_VALUE = 1e9;
 
     /** Parses a header's value; returns null if it is null or blank. */
@@ -58,11 +63,11 @@
     /** Returns the header's value, without the fields that are NaN. */
     public String text() {
         StringBuilder text = new StringBuilder();
-        append(text, "held", held);
-        append(text, "waiting", waiting);
-        append(text, "busy", busy);
-        append(text, "loads", loads);
-        append(text, "pinned", pinned);
+        append(text, "held", requestsInFlight);
+        append(text, "waiting", queuedRequests);
+        append(text, "busy", coreUtilization);
+        append(text, "loads", pendingLoads);
+        append(text, "pinned", pinnedMemoryShare);
         return text.toString();
     }
 
--- a/kserve/src/test/java/pearladder/kserve/KserveTest.java
+++ b/kserve/src/test/java/pearladder/kserve/KserveTest.java
@@ -69,8 +69,10 @@
         assertEquals(complete, LoadReport.parse(complete.text()));
         assertNull(LoadReport.parse(" "));
         LoadReport partial = LoadReport.parse("waiting=1; loads=many;busy=-1;other=7;held");
-        assertEquals(1, partial.waiting());
-        assertTrue(Double.isNaN(partial.loads()) && Double.isNaN(partial.busy()) && Double.isNaN(partial.held()));
+        assertEquals(1, partial.queuedRequests());
+        assertTrue(Double.isNaN(partial.pendingLoads())
+                && Double.isNaN(partial.coreUtilization())
+                && Double.isNaN(partial.requestsInFlight()));
     }
 
     @Test
--- a/router-core/src/main/java/pearladder/router/core/DeliveryGate.java
+++ b/router-core/src/main/java/pearladder/router/core/DeliveryGate.java
@@ -28,13 +28,13 @@
 
     /** Returns whether one more attempt of a request may be started now. */
     boolean mayStartAttempt(ActiveRequest request) {
-        return isAllowed(rules.onAttempt(request.deliveryState(), timers.now()), "an attempt of request", request);
+        return isAllowed(rules.checkAttempt(request.deliveryState(), timers.now()), "an attempt of request", request);
     }
 
     /** Returns whether the first byte of an attempt may be written now. */
     boolean mayWrite(ActiveAttempt attempt) {
         return isAllowed(
-                rules.onWrite(attempt.request.deliveryState(), attempt.sendBefore, timers.now()),
+                rules.checkWrite(attempt.request.deliveryState(), attempt.sendBefore, timers.now()),
                 "writing an attempt of request",
                 attempt.request);
     }
@@ -42,20 +42,20 @@
     /** Returns whether a request may be given its final answer now. */
     boolean mayAnswer(ActiveRequest request) {
         // A refusal is expected for every attempt that ends after the request was answered, so it is not counted.
-        return rules.onAnswer(request.deliveryState()).isAllowed();
+        return rules.checkAnswer(request.deliveryState()).isAllowed();
     }
 
     /** Returns whether a load request may be sent or written to its worker now. */
     boolean mayLoad(Action.LoadInstances request, WorkerClient workers) {
         Verdict verdict =
-                rules.onLoadRequest(workers.isInService(request.worker()), request.sendBefore(), timers.now());
+                rules.checkLoadRequest(workers.isInService(request.worker()), request.sendBefore(), timers.now());
         count(verdict, "a load request to", request.worker());
         return verdict.isAllowed();
     }
 
     /** Returns whether a resource with a number of unanswered requests may be closed. */
     public boolean mayClose(int unansweredRequests, String resource) {
-        Verdict verdict = rules.onClose(unansweredRequests);
+        Verdict verdict = rules.checkClose(unansweredRequests);
         count(verdict, "closing", resource);
         return verdict.isAllowed();
     }
--- a/settings/src/main/java/pearladder/settings/JsonNodeReader.java
+++ b/settings/src/main/java/pearladder/settings/JsonNodeReader.java
@@ -26,7 +26,7 @@
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw row.bad(path, "an object was expected");
+        throw row.invalidInput(path, "an object was expected");
     }
 
     private <T> T as(Class<T> type, String typeName, T defaultValue) {
@@ -36,7 +36,7 @@
         if (type.isInstance(value)) {
             return type.cast(value);
         }
-        throw row.bad(path, typeName + " was expected");
+        throw row.invalidInput(path, typeName + " was expected");
     }
 
     /** Returns the string, which must not be missing. */
@@ -60,16 +60,16 @@
     }
 
     /** Returns the whole number, or the default. */
-    public int whole(int defaultValue) {
+    public int wholeNumber(int defaultValue) {
         double number = number(defaultValue);
         if (number != Math.rint(number)) {
-            throw row.bad(path, "a whole number was expected");
+            throw row.invalidInput(path, "a whole number was expected");
         }
         return (int) number;
     }
 
     /** Returns the number as a duration in nanoseconds; zero if it is missing. */
-    public TimeSpan span() {
+    public TimeSpan timeSpan() {
         return new TimeSpan(Math.round(number(0)));
     }
 
@@ -85,7 +85,7 @@
     public <T> T oneOf(Map<String, T> constantsByName) {
         T constant = constantsByName.get(text());
         if (constant == null) {
-            throw row.bad(path, "unknown word " + value);
+            throw row.invalidInput(path, "unknown word " + value);
         }
         return constant;
     }
--- a/settings/src/main/java/pearladder/settings/JsonRowReader.java
+++ b/settings/src/main/java/pearladder/settings/JsonRowReader.java
@@ -40,7 +40,7 @@
     public JsonRowReader(JsonParser parser, long line) {
         this(parser, "line " + line);
         if (read(parser::nextToken) != JsonToken.START_ARRAY) {
-            throw bad("message", "an array was expected");
+            throw invalidInput("message", "an array was expected");
         }
     }
 
@@ -48,7 +48,7 @@
     public static JsonRowReader open(JsonParser parser, String name) {
         JsonRowReader row = new JsonRowReader(parser, name);
         if (row.read(parser::nextToken) == null) {
-            throw row.bad("value", "unexpected end of input");
+            throw row.invalidInput("value", "unexpected end of input");
         }
         return row;
     }
@@ -65,7 +65,7 @@
             return;
         }
         if (parser.currentToken() != JsonToken.START_OBJECT) {
-            throw bad(path, "an object was expected");
+            throw invalidInput(path, "an object was expected");
         }
         while (nextWithin(path) == JsonToken.FIELD_NAME) {
             String name = read(parser::currentName);
@@ -80,7 +80,7 @@
             return;
         }
         if (parser.currentToken() != JsonToken.START_ARRAY) {
-            throw bad(path, "a list was expected");
+            throw invalidInput(path, "a list was expected");
         }
         int index = 0;
         while (nextWithin(path) != JsonToken.END_ARRAY) {
@@ -91,7 +91,7 @@
     private JsonToken nextWithin(String path) {
         JsonToken token = read(parser::nextToken);
         if (token == null) {
-            throw bad(path, "unexpected end of input");
+            throw invalidInput(path, "unexpected end of input");
         }
         return token;
     }
@@ -121,7 +121,7 @@
     }
 
     /** Returns an exception about a field of this line or document, for the caller to throw. */
-    public InvalidInputException bad(String field, String problem) {
+    public InvalidInputException invalidInput(String field, String problem) {
         return new InvalidInputException(source + ", " + field + ": " + problem);
     }
 
@@ -131,7 +131,7 @@
         }
         JsonToken token = read(parser::nextToken);
         if (token == null) {
-            throw bad(field, "unexpected end of input");
+            throw invalidInput(field, "unexpected end of input");
         }
         if (token == JsonToken.END_ARRAY) {
             ended = true;
@@ -147,7 +147,7 @@
             return null;
         }
         if (token != JsonToken.VALUE_STRING) {
-            throw bad(field, "a string was expected");
+            throw invalidInput(field, "a string was expected");
         }
         return read(parser::getText);
     }
@@ -172,7 +172,7 @@
                 return (long) value;
             }
         }
-        throw bad(field, "a whole number was expected");
+        throw invalidInput(field, "a whole number was expected");
     }
 
     /** Reads the next value as a whole number, which must not be null. */
@@ -187,7 +187,7 @@
             return null;
         }
         if (token != JsonToken.VALUE_NUMBER_INT && token != JsonToken.VALUE_NUMBER_FLOAT) {
-            throw bad(field, "a number was expected");
+            throw invalidInput(field, "a number was expected");
         }
         return read(parser::getDoubleValue);
     }
@@ -196,7 +196,7 @@
     public boolean flag(String field) {
         JsonToken token = next(field);
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE && token != JsonToken.VALUE_NULL) {
-            throw bad(field, "true or false was expected");
+            throw invalidInput(field, "true or false was expected");
         }
         return token == JsonToken.VALUE_TRUE;
     }
@@ -208,7 +208,7 @@
 
     private Object tree(String field, JsonToken token) {
         if (token == null) {
-            throw bad(field, "unexpected end of input");
+            throw invalidInput(field, "unexpected end of input");
         }
         return switch (token) {
             case START_OBJECT -> object(field);
@@ -244,7 +244,7 @@
     /** Returns a value, which must not be null. */
     public <T> T requirePresent(String field, T value) {
         if (value == null) {
-            throw bad(field, "a value is missing");
+            throw invalidInput(field, "a value is missing");
         }
         return value;
     }
@@ -254,7 +254,7 @@
         while (!ended) {
             JsonToken token = read(parser::nextToken);
             if (token == null) {
-                throw bad("message", "unexpected end of input");
+                throw invalidInput("message", "unexpected end of input");
             }
             if (token == JsonToken.START_ARRAY || token == JsonToken.START_OBJECT) {
                 read(parser::skipChildren);
@@ -263,7 +263,7 @@
             }
         }
         if (read(parser::nextToken) != null) {
-            throw bad("message", "one message per line was expected");
+            throw invalidInput("message", "one message per line was expected");
         }
     }
 }
--- a/settings/src/main/java/pearladder/settings/RoutingSettingsParser.java
+++ b/settings/src/main/java/pearladder/settings/RoutingSettingsParser.java
@@ -37,10 +37,10 @@
         JsonNodeReader rules = settings.at("Rules");
         JsonNodeReader family = settings.at("FamilyInfo");
         return new RoutingSettings(
-                settings.at("MyNumber").whole(0),
-                Math.max(1, settings.at("PeersTotal").whole(1)),
+                settings.at("MyNumber").wholeNumber(0),
+                Math.max(1, settings.at("PeersTotal").wholeNumber(1)),
                 settings.at("Zone").textOr(""),
-                settings.at("QuantumNs").span(),
+                settings.at("QuantumNs").timeSpan(),
                 settings.at("Services").each(RoutingSettingsParser::requestClass),
                 settings.at("Accounts").each(RoutingSettingsParser::tenant),
                 attemptLimits(settings),
@@ -56,13 +56,13 @@
     private static RequestClass requestClass(JsonNodeReader service) {
         return new RequestClass(
                 service.at("Name").text(),
-                service.at("AimNs").span(),
-                service.at("GiveUpNs").span(),
+                service.at("AimNs").timeSpan(),
+                service.at("GiveUpNs").timeSpan(),
                 service.at("Worth").number(1),
                 service.at("LateWorth").number(0),
                 service.at("Effect").oneOf(IDEMPOTENCY_BY_NAME),
                 deduplicationScope(service.at("DedupScope")),
-                service.at("KeyTtlNs").span(),
+                service.at("KeyTtlNs").timeSpan(),
                 service.at("Streamed").flag(false),
                 service.at("AimStretch").number(0));
     }
@@ -81,45 +81,45 @@
     private static AttemptLimits attemptLimits(JsonNodeReader settings) {
         JsonNodeReader caps = settings.at("Caps");
         return new AttemptLimits(
-                caps.at("MaxAttempts").whole(1),
+                caps.at("MaxAttempts").wholeNumber(1),
                 caps.at("SecondCopies").flag(false),
                 caps.at("MayCancel").flag(false),
                 caps.at("Probes").flag(false),
                 caps.at("Peers").flag(false),
                 caps.at("RetryAfter").flag(false),
-                caps.at("MaxRetryAfterNs").span(),
+                caps.at("MaxRetryAfterNs").timeSpan(),
                 settings.at("OverShareWorth").number(1),
                 settings.at("WorthBy").textOr("request").equals("work"),
-                caps.at("DialTimeoutNs").span());
+                caps.at("DialTimeoutNs").timeSpan());
     }
 
     private static ResponseGrace responseGrace(JsonNodeReader rules) {
         return new ResponseGrace(
-                rules.at("GraceToAnswerNs").span(),
-                rules.at("StopSendingWithinNs").span());
+                rules.at("GraceToAnswerNs").timeSpan(),
+                rules.at("StopSendingWithinNs").timeSpan());
     }
 
     private static SlowStartSettings slowStart(JsonNodeReader rules) {
         return new SlowStartSettings(
                 rules.at("StartCapacity").number(1),
-                rules.at("ColdNs").span(),
+                rules.at("ColdNs").timeSpan(),
                 rules.at("OverloadFactor").number(1),
-                rules.at("OverloadForNs").span());
+                rules.at("OverloadForNs").timeSpan());
     }
 
     private static LoadQuota loadQuota(JsonNodeReader family) {
         return new LoadQuota(
                 family.at("LoadFree").number(0),
                 family.at("LoadRatio").number(0),
-                family.at("LoadSpanNs").span());
+                family.at("LoadSpanNs").timeSpan());
     }
 
     private static InstanceSettings instances(JsonNodeReader family) {
         return new InstanceSettings(
-                family.at("LingerIdleNs").span(),
+                family.at("LingerIdleNs").timeSpan(),
                 family.at("LoadControl").flag(false),
                 family.at("OnMiss").textOr("load").equals("load"),
-                family.at("OrderTimeoutNs").span(),
+                family.at("OrderTimeoutNs").timeSpan(),
                 family.at("TellsWarm").flag(false),
                 family.at("CountsAlike").flag(false),
                 family.at("MachineMb").each(memoryMb -> memoryMb.number(0)));
@@ -134,7 +134,7 @@
     private static DiscoverySettings discovery(JsonNodeReader settings) {
         return new DiscoverySettings(
                 settings.at("MembershipMode").textOr("push").equals("ask"),
-                settings.at("Rules").at("MustAskInNs").span());
+                settings.at("Rules").at("MustAskInNs").timeSpan());
     }
 
     private static CostModel costs(JsonNodeReader penalties, JsonNodeReader family) {
--- a/simulation/src/main/java/pearladder/simulation/FaultSearch.java
+++ b/simulation/src/main/java/pearladder/simulation/FaultSearch.java
@@ -82,7 +82,7 @@
         this.policyFactory = policyFactory;
         this.pool = pool;
         this.progress = progress;
-        ScenarioPlan plan = ScenarioPlan.read(YamlParser.read(name, YAML.writeValueAsString(base)));
+        ScenarioPlan plan = ScenarioPlan.read(YamlParser.parse(name, YAML.writeValueAsString(base)));
         this.generator = new FaultScenarioGenerator(base, plan);
     }
 
--- a/simulation/src/main/java/pearladder/simulation/SimulatedResponse.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedResponse.java
@@ -34,7 +34,11 @@
         return report == null
                 ? null
                 : new Event.WorkerLoadReport(
-                        report.held(), report.waiting(), report.busy(), report.loads(), report.pinned());
+                        report.requestsInFlight(),
+                        report.queuedRequests(),
+                        report.coreUtilization(),
+                        report.pendingLoads(),
+                        report.pinnedMemoryShare());
     }
 
     /** The same response, read as an error: it names another model than was asked for. */
--- a/simulation/src/main/java/pearladder/simulation/SimulatedRouters.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedRouters.java
@@ -83,7 +83,7 @@
             router.put("peers", plan.routers());
         }
         file.withObject("/list").put("address", "127.0.0.1:1");
-        return RouterConfigParser.read(YamlParser.read(name, YAML.writeValueAsString(file)));
+        return RouterConfigParser.read(YamlParser.parse(name, YAML.writeValueAsString(file)));
     }
 
     private List<RolloutTarget> targetsKnownBesides(String router) {
--- a/simulation/src/main/java/pearladder/simulation/Simulation.java
+++ b/simulation/src/main/java/pearladder/simulation/Simulation.java
@@ -158,7 +158,7 @@
             Path out,
             PrintStream progress)
             throws IOException {
-        ScenarioPlan plan = ScenarioPlan.read(YamlParser.read(name, YAML.writeValueAsString(script)));
+        ScenarioPlan plan = ScenarioPlan.read(YamlParser.parse(name, YAML.writeValueAsString(script)));
         if (trace == null) {
             return new Simulation(script, plan, null, policyFactory, progress).run(out);
         }
--- a/simulator-adapter/src/main/java/pearladder/simulator/EventReader.java
+++ b/simulator-adapter/src/main/java/pearladder/simulator/EventReader.java
@@ -77,7 +77,7 @@
             case "ProbeResult" -> healthCheckCompleted(row);
             case "BroughtUp" -> loadCompleted(row);
             case "FromPeer" -> new Event.GossipReceived((int) row.wholeNumber("OriginPeer"), row.text("Contents"));
-            default -> throw row.bad("message", "unknown event " + name);
+            default -> throw row.invalidInput("message", "unknown event " + name);
         };
     }
 
@@ -88,7 +88,7 @@
         EndpointUpdateKind kind = constantOf(row, "Mode", UPDATE_KINDS, mode);
         List<Endpoint> endpoints = kind == EndpointUpdateKind.FAILED ? List.of() : endpointTables.get(table);
         if (endpoints == null) {
-            throw row.bad("Table", "no endpoint list with this number was received");
+            throw row.invalidInput("Table", "no endpoint list with this number was received");
         }
         return new Event.EndpointsUpdated(kind, endpoints);
     }
@@ -142,7 +142,7 @@
         if (tenant instanceof String name) {
             return name;
         }
-        throw row.bad("Org", "a string was expected");
+        throw row.invalidInput("Org", "a string was expected");
     }
 
     private static Event attemptEnded(JsonRowReader row) {
@@ -157,7 +157,7 @@
         boolean counted = outcome == Outcome.SUCCESS || outcome == Outcome.FULL;
         int status = detail % DETAIL_STATUS_BASE;
         if (detail < 0 || status >= INSTANCE_STATUSES.length) {
-            throw row.bad("Detail", "invalid detail " + detail);
+            throw row.invalidInput("Detail", "invalid detail " + detail);
         }
         return new Event.AttemptEnded(
                 requestId,
@@ -193,15 +193,15 @@
     private static Endpoint endpoint(JsonNodeReader entry) {
         List<JsonNodeReader> values = entry.each(value -> value);
         if (values.size() < MIN_ENDPOINT_VALUES) {
-            throw entry.row().bad(entry.path(), "an entry with at least six values was expected");
+            throw entry.row().invalidInput(entry.path(), "an entry with at least six values was expected");
         }
-        TimeSpan startedAt = values.size() > MIN_ENDPOINT_VALUES ? values.get(6).span() : TimeSpan.ZERO;
+        TimeSpan startedAt = values.size() > MIN_ENDPOINT_VALUES ? values.get(6).timeSpan() : TimeSpan.ZERO;
         return new Endpoint(
                 values.get(0).text(),
                 values.get(1).textOr(""),
                 values.get(2).textOr(""),
-                values.get(3).whole(0),
-                values.get(4).oneOf(EndpointStates.WORDS),
+                values.get(3).wholeNumber(0),
+                values.get(4).oneOf(EndpointStates.BY_NAME),
                 values.get(5).number(1),
                 startedAt.nanos() == 0 ? null : new MonotonicTime(startedAt.nanos()));
     }
@@ -209,7 +209,7 @@
     private static <T> T constantOf(JsonRowReader row, String field, Map<String, T> constantsByName, String name) {
         T constant = constantsByName.get(name);
         if (constant == null) {
-            throw row.bad(field, "unknown word " + name);
+            throw row.invalidInput(field, "unknown word " + name);
         }
         return constant;
     }
--- a/simulator-adapter/src/main/java/pearladder/simulator/SimulatorAdapter.java
+++ b/simulator-adapter/src/main/java/pearladder/simulator/SimulatorAdapter.java
@@ -81,14 +81,14 @@
             } else if (inBatch) {
                 handleMessage(message, row, writer);
             } else {
-                throw row.bad("message", message + " outside a batch");
+                throw row.invalidInput("message", message + " outside a batch");
             }
         }
     }
 
     private void beginBatch(JsonRowReader row) {
         if (inBatch) {
-            throw row.bad("message", "a batch begins before the previous one has ended");
+            throw row.invalidInput("message", "a batch begins before the previous one has ended");
         }
         now = new MonotonicTime(row.wholeNumber("clock"));
         inBatch = true;
@@ -154,7 +154,7 @@
     private RoutingPolicy policy(JsonRowReader row, long router) {
         RoutingPolicy policy = policies.get(router);
         if (policy == null) {
-            throw row.bad("I", "router " + router + " has not been started");
+            throw row.invalidInput("I", "router " + router + " has not been started");
         }
         return policy;
     }
--- a/testbed/src/main/java/pearladder/testbed/ExperimentPlan.java
+++ b/testbed/src/main/java/pearladder/testbed/ExperimentPlan.java
@@ -59,7 +59,7 @@
 
     /** Reads a file; throws {@link pearladder.config.ConfigErrors.ConfigException} with every mistake in it. */
     static ExperimentPlan read(Path file) {
-        return read(YamlParser.read(file), file.toAbsolutePath().getParent());
+        return read(YamlParser.parse(file), file.toAbsolutePath().getParent());
     }
 
     /** Reads a file that was parsed already; its paths are relative to the folder. */
@@ -71,16 +71,16 @@
         List<Double> rates = orElse(vary.at("rate").each(value -> value.number(0.1, 1e6)), Double.NaN);
         List<Double> speeds = orElse(vary.at("speed").each(value -> value.number(0.001, 1e6)), Double.NaN);
         List<Faults> faults =
-                orElse(vary.at("troubles").each(value -> value.word(Faults.class, null)), Faults.AS_WRITTEN);
-        List<Integer> seeds = orElse(vary.at("seed").each(value -> value.whole(0, Integer.MAX_VALUE)), 1);
+                orElse(vary.at("troubles").each(value -> value.enumConstant(Faults.class, null)), Faults.AS_WRITTEN);
+        List<Integer> seeds = orElse(vary.at("seed").each(value -> value.wholeNumber(0, Integer.MAX_VALUE)), 1);
         TraceWorkload.ReplaySettings trace =
                 experiment.at("trace").isGiven() ? trace(experiment.at("trace"), folder) : null;
         if (trace == null && !speeds.get(0).isNaN()) {
-            vary.at("speed").addMistake("only a trace has a speed", "name a trace, or vary the rate");
+            vary.at("speed").addError("only a trace has a speed", "name a trace, or vary the rate");
         }
         String name = experiment.at("name").text("experiment");
         Path base = folder.resolve(experiment.at("base").text());
-        whole.done();
+        whole.requireValid();
         List<Run> runs = new ArrayList<>();
         for (String policy : policies) {
             for (Size size : sizes) {
@@ -113,15 +113,15 @@
     private static List<Size> sizes(ConfigValue vary) {
         List<Size> sizes = new ArrayList<>(vary.at("sizes")
                 .each(size -> new Size(
-                        size.at("engines").whole(1, 1, MAX_WORKERS),
-                        size.at("routers").whole(1, 1, MAX_ROUTERS))));
-        List<Integer> workers = orElse(vary.at("engines").each(value -> value.whole(1, MAX_WORKERS)), 0);
-        List<Integer> routers = orElse(vary.at("routers").each(value -> value.whole(1, MAX_ROUTERS)), 0);
+                        size.at("engines").wholeNumber(1, 1, MAX_WORKERS),
+                        size.at("routers").wholeNumber(1, 1, MAX_ROUTERS))));
+        List<Integer> workers = orElse(vary.at("engines").each(value -> value.wholeNumber(1, MAX_WORKERS)), 0);
+        List<Integer> routers = orElse(vary.at("routers").each(value -> value.wholeNumber(1, MAX_ROUTERS)), 0);
         if (sizes.isEmpty()) {
             workers.forEach(count -> routers.forEach(number -> sizes.add(new Size(count, number))));
         } else if (workers.get(0) > 0 || routers.get(0) > 0) {
             vary.at("sizes")
-                    .addMistake("sizes are listed, and engines or routers beside them", "keep one of the two ways");
+                    .addError("sizes are listed, and engines or routers beside them", "keep one of the two ways");
         }
         return sizes;
     }
@@ -129,7 +129,7 @@
     private static String policy(ConfigValue value) {
         String word = value.text();
         if (!word.equals(POLICY) && !word.equals(RANDOM_POLICY)) {
-            value.addMistake("unknown policy \"" + word + "\"", "write module or random");
+            value.addError("unknown policy \"" + word + "\"", "write module or random");
         }
         return word;
     }
@@ -141,12 +141,12 @@
                 null,
                 null,
                 1,
-                trace.at("window").span("60 s"),
-                trace.at("most").whole(0, 0, Integer.MAX_VALUE),
-                trace.at("lasting").span("0 s"),
+                trace.at("window").durationNanos("60 s"),
+                trace.at("most").wholeNumber(0, 0, Integer.MAX_VALUE),
+                trace.at("lasting").durationNanos("0 s"),
                 trace.at("work_scale").number(1, 0, 1e6),
-                trace.at("longest_work").span("500 ms"),
-                trace.at("usual_work").span("20 ms"),
+                trace.at("longest_work").durationNanos("500 ms"),
+                trace.at("usual_work").durationNanos("20 ms"),
                 false);
     }
 
--- a/testbed/src/main/java/pearladder/testbed/InvariantSettings.java
+++ b/testbed/src/main/java/pearladder/testbed/InvariantSettings.java
@@ -30,24 +30,26 @@
         ConfigValue quota = rules.at("ration");
         return new InvariantSettings(
                 router.at("categories").eachKey(InvariantSettings::terms),
-                rules.at("answer_grace").span("15 ms"),
-                rules.at("drain_grace").span("1 s"),
-                rules.at("cold").at("warm_after").span("15 s"),
-                rules.at("cold").at("fall_after").span("1500 ms"),
+                rules.at("answer_grace").durationNanos("15 ms"),
+                rules.at("drain_grace").durationNanos("1 s"),
+                rules.at("cold").at("warm_after").durationNanos("15 s"),
+                rules.at("cold").at("fall_after").durationNanos("1500 ms"),
                 quota.at("free").number(0, 0, 1e6),
                 quota.at("share").number(0, 0, 100),
-                quota.at("window").span("0 s"));
+                quota.at("window").durationNanos("0 s"));
     }
 
     private static RequestClassTerms terms(String name, ConfigValue terms) {
         return new RequestClassTerms(
                 name,
-                terms.at("effect").word(RequestClassTerms.Idempotency.class, RequestClassTerms.Idempotency.RETRIABLE),
+                terms.at("effect")
+                        .enumConstant(RequestClassTerms.Idempotency.class, RequestClassTerms.Idempotency.RETRIABLE),
                 terms.at("group")
-                        .word(RequestClassTerms.DeduplicationScope.class, RequestClassTerms.DeduplicationScope.ALL),
-                terms.at("expected").span(),
-                terms.at("abandon").span(),
-                terms.at("remembered").span("0 s"),
+                        .enumConstant(
+                                RequestClassTerms.DeduplicationScope.class, RequestClassTerms.DeduplicationScope.ALL),
+                terms.at("expected").durationNanos(),
+                terms.at("abandon").durationNanos(),
+                terms.at("remembered").durationNanos("0 s"),
                 terms.at("credit").number(1, 0, 1e9),
                 terms.at("late_credit").number(0, 0, 1));
     }
--- a/testbed/src/main/java/pearladder/testbed/RolloutScript.java
+++ b/testbed/src/main/java/pearladder/testbed/RolloutScript.java
@@ -74,8 +74,8 @@
     static List<Order> read(ConfigValue entry) {
         Order first = one(entry);
         List<Order> orders = new ArrayList<>();
-        long interval = entry.at("every").span("0 s");
-        for (int i = 0; i < entry.at("times").whole(1, 1, MAX_REPEATS); i++) {
+        long interval = entry.at("every").durationNanos("0 s");
+        for (int i = 0; i < entry.at("times").wholeNumber(1, 1, MAX_REPEATS); i++) {
             orders.add(new Order(
                     first.at() + i * interval, first.type(), first.modelPrefix(), first.modelCount(), first.plan()));
         }
@@ -83,12 +83,12 @@
     }
 
     private static Order one(ConfigValue entry) {
-        OrderType what = entry.at("order").word(OrderType.class, null);
+        OrderType what = entry.at("order").enumConstant(OrderType.class, null);
         return new Order(
-                entry.at("at").span(),
+                entry.at("at").durationNanos(),
                 what,
                 entry.at("models").text(),
-                entry.at("count").whole(1, 1, MAX_MODELS),
+                entry.at("count").wholeNumber(1, 1, MAX_MODELS),
                 what == OrderType.START ? plan(entry) : null);
     }
 
@@ -97,8 +97,8 @@
                 .put("from", entry.at("from").text(""))
                 .put("to", entry.at("to").text());
         plan.putPOJO("steps", entry.at("steps").each(step -> step.number(0, 1)));
-        plan.putObject("hold").put("nanos", entry.at("hold").span("10 s"));
-        plan.put("leastCalls", entry.at("least_calls").whole(50, 0, MAX_LEAST_REQUESTS));
+        plan.putObject("hold").put("nanos", entry.at("hold").durationNanos("10 s"));
+        plan.put("leastCalls", entry.at("least_calls").wholeNumber(50, 0, MAX_LEAST_REQUESTS));
         plan.putObject("gate")
                 .put("excess", entry.at("excess").number(0.05, 0, 1))
                 .put("wrongly", entry.at("wrongly").number(0.01, 0, 0.5))
--- a/testbed/src/main/java/pearladder/testbed/ScenarioPlan.java
+++ b/testbed/src/main/java/pearladder/testbed/ScenarioPlan.java
@@ -229,7 +229,7 @@
 
     /** Reads a script; throws {@link pearladder.config.ConfigErrors.ConfigException} with every mistake in it. */
     public static ScenarioPlan read(Path file) {
-        return read(YamlParser.read(file));
+        return read(YamlParser.parse(file));
     }
 
     /** Reads a script that was parsed already; throws as {@link #read(Path)} does. */
--- a/testbed/src/main/java/pearladder/testbed/ScenarioPlanParser.java
+++ b/testbed/src/main/java/pearladder/testbed/ScenarioPlanParser.java
@@ -42,7 +42,7 @@
     /** The plan; throws {@link pearladder.config.ConfigErrors.ConfigException} where there is any mistake. */
     ScenarioPlan parse() {
         InvariantSettings rules = InvariantSettings.read(file.at("router"));
-        long lasting = day.at("lasting").span();
+        long lasting = day.at("lasting").durationNanos();
         List<String> zones = zones();
         List<Flow> flows = flows(rules);
         List<Fault> faults = faults(lasting, zones);
@@ -50,10 +50,10 @@
         ScenarioPlan plan = new ScenarioPlan(
                 day.at("name").text("day"),
                 lasting,
-                day.at("seed").whole(1, 0, Integer.MAX_VALUE),
-                day.at("slack").span("150 ms"),
+                day.at("seed").wholeNumber(1, 0, Integer.MAX_VALUE),
+                day.at("slack").durationNanos("150 ms"),
                 zones,
-                day.at("routers").whole(2, 1, MAX_ROUTERS),
+                day.at("routers").wholeNumber(2, 1, MAX_ROUTERS),
                 day.at("rate").number(0.1, MAX_RATE),
                 clients(file.at("clients")),
                 flows,
@@ -64,14 +64,14 @@
                 network(file.at("network")),
                 expected(file.at("expect")),
                 tide(day.at("tide")));
-        file.done(CHECKED_SECTIONS);
+        file.requireValid(CHECKED_SECTIONS);
         return plan;
     }
 
     private List<String> zones() {
         List<String> zones = day.at("halls").each(ConfigValue::text);
         if (zones.isEmpty()) {
-            day.at("halls").addMistake("no hall is named", "write \"halls: [east, west]\"");
+            day.at("halls").addError("no hall is named", "write \"halls: [east, west]\"");
         }
         return zones;
     }
@@ -80,7 +80,7 @@
         List<Flow> flows = file.at("traffic").each(flow -> flow(flow, rules));
         if (flows.isEmpty()) {
             file.at("traffic")
-                    .addMistake("no traffic", "write \"- {category: ..., models: pair-, count: 20, work: 20 ms}\"");
+                    .addError("no traffic", "write \"- {category: ..., models: pair-, count: 20, work: 20 ms}\"");
         }
         return flows;
     }
@@ -89,17 +89,17 @@
         String requestClass = flow.at("category").text();
         if (!rules.requestClasses().containsKey(requestClass)) {
             String known = String.join(", ", rules.requestClasses().keySet());
-            flow.at("category").addMistake("unknown category \"" + requestClass + "\"", "write one of " + known);
+            flow.at("category").addError("unknown category \"" + requestClass + "\"", "write one of " + known);
         }
         return new Flow(
                 requestClass,
                 flow.at("account").text(""),
                 flow.at("share").number(1, 0, 1),
                 flow.at("models").text(),
-                flow.at("count").whole(1, 1, MAX_MODELS),
+                flow.at("count").wholeNumber(1, 1, MAX_MODELS),
                 flow.at("skew").number(1, 0, 5),
-                flow.at("shift").span("0 s"),
-                flow.at("work").span("20 ms"));
+                flow.at("shift").durationNanos("0 s"),
+                flow.at("work").durationNanos("20 ms"));
     }
 
     private List<Fault> faults(long lasting, List<String> zones) {
@@ -109,19 +109,19 @@
     }
 
     private static Fault fault(ConfigValue fault, long scenarioLasting, List<String> zones) {
-        long at = fault.at("at").span();
-        long lasting = fault.at("lasting").span("0 s");
+        long at = fault.at("at").durationNanos();
+        long lasting = fault.at("lasting").durationNanos("0 s");
         if (at + lasting > scenarioLasting) {
-            fault.at("at").addMistake("the trouble ends after the day", "begin it earlier, or make the day longer");
+            fault.at("at").addError("the trouble ends after the day", "begin it earlier, or make the day longer");
         }
         String zone = fault.at("hall").text("");
         if (!zone.isEmpty() && !zones.contains(zone)) {
-            fault.at("hall").addMistake("unknown hall \"" + zone + "\"", "write one of " + String.join(", ", zones));
+            fault.at("hall").addError("unknown hall \"" + zone + "\"", "write one of " + String.join(", ", zones));
         }
         return new Fault(
                 at,
                 lasting,
-                fault.at("what").word(FaultKind.class, null),
+                fault.at("what").enumConstant(FaultKind.class, null),
                 fault.at("share").number(0.2, 0, 1),
                 fault.at("times").number(5, 1, 1000),
                 fault.at("part").number(0.7, 0, 1),
@@ -133,19 +133,19 @@
         boolean needsProxies = faults.stream().anyMatch(fault -> PROXY_FAULTS.contains(fault.kind()));
         if (needsProxies && !fleet.usesFaultProxy()) {
             file.at("fleet")
-                    .addMistake("cuts, resets and slow handshakes need cables", "write \"cables: true\" in the fleet");
+                    .addError("cuts, resets and slow handshakes need cables", "write \"cables: true\" in the fleet");
         }
         return fleet;
     }
 
     private static Clients clients(ConfigValue clients) {
         return new Clients(
-                clients.at("tries").whole(3, 1, MAX_CLIENT_ATTEMPTS),
-                clients.at("pause").span("200 ms"),
+                clients.at("tries").wholeNumber(3, 1, MAX_CLIENT_ATTEMPTS),
+                clients.at("pause").durationNanos("200 ms"),
                 clients.at("patience").number(0.5, 0.05, 1),
-                clients.at("front_lag").span("2 s"),
+                clients.at("front_lag").durationNanos("2 s"),
                 clients.at("leaving").number(0, 0, 1),
-                clients.at("lanes").whole(1, 1, MAX_CLIENT_LANES));
+                clients.at("lanes").wholeNumber(1, 1, MAX_CLIENT_LANES));
     }
 
     private List<RolloutScript.Order> releases() {
@@ -156,7 +156,8 @@
 
     private static Network network(ConfigValue network) {
         return new Network(
-                network.at("delay").span("600 us"), network.at("router_start").span("2 s"));
+                network.at("delay").durationNanos("600 us"),
+                network.at("router_start").durationNanos("2 s"));
     }
 
     private static Expected expected(ConfigValue expected) {
@@ -166,6 +167,7 @@
     }
 
     private static RateVariation tide(ConfigValue tide) {
-        return new RateVariation(tide.at("period").span("0 s"), tide.at("swing").number(0.5, 0, 1));
+        return new RateVariation(
+                tide.at("period").durationNanos("0 s"), tide.at("swing").number(0.5, 0, 1));
     }
 }
--- a/testbed/src/test/java/pearladder/testbed/ExperimentPlanTest.java
+++ b/testbed/src/test/java/pearladder/testbed/ExperimentPlanTest.java
@@ -16,7 +16,7 @@
     @Test
     void gridHoldsEveryCombination(@TempDir Path folder) {
         ExperimentPlan plan = ExperimentPlan.read(
-                YamlParser.read(
+                YamlParser.parse(
                         "e.yaml",
                         """
                 experiment:
@@ -35,7 +35,7 @@
     @Test
     void listedSizesVaryTogether(@TempDir Path folder) {
         ExperimentPlan pairs = ExperimentPlan.read(
-                YamlParser.read(
+                YamlParser.parse(
                         "e.yaml",
                         """
                 experiment:
@@ -53,7 +53,7 @@
         List<String> lines = assertThrows(
                         ConfigErrors.ConfigException.class,
                         () -> ExperimentPlan.read(
-                                YamlParser.read(
+                                YamlParser.parse(
                                         "e.yaml",
                                         """
                 experiment:
--- a/testbed/src/test/java/pearladder/testbed/FaultKindTest.java
+++ b/testbed/src/test/java/pearladder/testbed/FaultKindTest.java
@@ -58,7 +58,7 @@
                     .formatted(1)
                     .replace("what: hall-lost", "what: " + kind.code())
                     .replace("fleet:", "fleet:\n  cables: true");
-            ScenarioPlan plan = ScenarioPlan.read(YamlParser.read("d.yaml", script));
+            ScenarioPlan plan = ScenarioPlan.read(YamlParser.parse("d.yaml", script));
             assertEquals(kind, plan.faults().get(3).kind());
         }
     }
--- a/testbed/src/test/java/pearladder/testbed/ScenarioPlanTest.java
+++ b/testbed/src/test/java/pearladder/testbed/ScenarioPlanTest.java
@@ -20,7 +20,7 @@
                 .replace("at: 14 s", "at: 19 s")
                 .replace("category: draft, share: 0.3", "category: post, share: 0.3");
         List<String> lines = assertThrows(
-                        ConfigErrors.ConfigException.class, () -> ScenarioPlan.read(YamlParser.read("d.yaml", wrong)))
+                        ConfigErrors.ConfigException.class, () -> ScenarioPlan.read(YamlParser.parse("d.yaml", wrong)))
                 .getMessage()
                 .lines()
                 .toList();
--- a/testbed/src/test/java/pearladder/testbed/SyntheticWorkloadTest.java
+++ b/testbed/src/test/java/pearladder/testbed/SyntheticWorkloadTest.java
@@ -52,7 +52,7 @@
     @Test
     void rateVariesAndPopularityShifts() {
         ScenarioPlan plan = ScenarioPlan.read(
-                YamlParser.read(
+                YamlParser.parse(
                         "d.yaml",
                         """
                 day: {lasting: 40 s, halls: [east], rate: 100, tide: {period: 40 s, swing: 0.8}}
--- a/testbed/src/test/java/pearladder/testbed/TestResults.java
+++ b/testbed/src/test/java/pearladder/testbed/TestResults.java
@@ -15,7 +15,7 @@
 
     /** The results of four requests, with one fault. */
     static ObjectNode results(long seed) {
-        ScenarioPlan plan = ScenarioPlan.read(YamlParser.read(
+        ScenarioPlan plan = ScenarioPlan.read(YamlParser.parse(
                 "d.yaml",
                 """
                 day: {name: "a <day>", lasting: 30 s, seed: %d, halls: [east], rate: 5}
--- a/testbed/src/test/java/pearladder/testbed/TestScenarios.java
+++ b/testbed/src/test/java/pearladder/testbed/TestScenarios.java
@@ -28,6 +28,6 @@
 
     /** The plan of the script with a seed. */
     static ScenarioPlan plan(int seed) {
-        return ScenarioPlan.read(YamlParser.read("d.yaml", SCRIPT.formatted(seed)));
+        return ScenarioPlan.read(YamlParser.parse("d.yaml", SCRIPT.formatted(seed)));
     }
 }
