--- a/emulator/src/main/java/pearladder/emulator/net/DiscoveryServer.java
+++ b/emulator/src/main/java/pearladder/emulator/net/DiscoveryServer.java
@@ -15,8 +15,8 @@
 import pearladder.kserve.Headers;
 
 /**
- * The discovery service: GET /v1/list answers with the whole endpoint list; GET /v1/list/watch?from=VERSION stays
- * open and brings one line for each change.
+ * The HTTP server of the discovery service. GET /v1/list returns the whole endpoint list; GET
+ * /v1/list/watch?from=VERSION streams one line for each message.
  */
 public final class DiscoveryServer {
     private static final String LIST_PATH = "/v1/list";
@@ -25,26 +25,26 @@
 
     private final Vertx vertx;
     private final EndpointRegistry registry;
-    private final BiFunction<String, DiscoveryMessage.Entry, DiscoveryMessage.Entry> addressing;
+    private final BiFunction<String, DiscoveryMessage.Entry, DiscoveryMessage.Entry> addressRewriter;
     private final Set<HttpServerResponse> openWatches = new HashSet<>();
     private int port;
 
-    /** @param addressing an entry with the address by which the router of that name reaches the worker */
+    /** @param addressRewriter returns an entry with the address at which the named router reaches the worker */
     DiscoveryServer(
             Vertx vertx,
             EndpointRegistry registry,
-            BiFunction<String, DiscoveryMessage.Entry, DiscoveryMessage.Entry> addressing) {
+            BiFunction<String, DiscoveryMessage.Entry, DiscoveryMessage.Entry> addressRewriter) {
         this.vertx = vertx;
         this.registry = registry;
-        this.addressing = addressing;
+        this.addressRewriter = addressRewriter;
     }
 
-    /** The port on which it listens. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return port;
     }
 
-    /** @param wantedPort 0 lets the system give one */
+    /** @param wantedPort port to listen on, or 0 for one that the system assigns */
     Future<Void> listen(int wantedPort) {
         HttpServerOptions options = new HttpServerOptions().setHost("127.0.0.1").setPort(wantedPort);
         HttpServer server = vertx.createHttpServer(options).requestHandler(this::handle);
@@ -54,7 +54,7 @@
                 .mapEmpty();
     }
 
-    /** Resets every watch; routers may connect again. */
+    /** Resets the connections of all watches; routers may reconnect. */
     public void resetWatches() {
         Set.copyOf(openWatches).forEach(HttpServerResponse::reset);
     }
@@ -75,7 +75,7 @@
         openWatches.add(response);
         EndpointRegistry.Watcher watcher = registry.watch(
                 router,
-                version(request.getParam("from")),
+                parseVersion(request.getParam("from")),
                 message -> response.write(addressedFor(router, message).toJson() + "\n"));
         response.closeHandler(closed -> {
             registry.removeWatcher(watcher);
@@ -83,14 +83,14 @@
         });
     }
 
-    /** The version that a router has; 0 where none is given or it is malformed. */
-    private static long version(String from) {
+    /** Parses the version of a router's endpoint list; 0 if it is missing or malformed. */
+    private static long parseVersion(String from) {
         return from == null || !from.matches("[0-9]{1,18}") ? 0 : Long.parseLong(from);
     }
 
     private DiscoveryMessage addressedFor(String router, DiscoveryMessage message) {
         List<DiscoveryMessage.Entry> entries = message.entries().stream()
-                .map(entry -> addressing.apply(router, entry))
+                .map(entry -> addressRewriter.apply(router, entry))
                 .toList();
         return new DiscoveryMessage(message.kind(), message.version(), entries);
     }
--- a/emulator/src/main/java/pearladder/emulator/net/EventLoop.java
+++ b/emulator/src/main/java/pearladder/emulator/net/EventLoop.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** An event loop to which other threads hand tasks and wait for their end. */
+/** An event loop on which other threads run tasks and wait for their results. */
 final class EventLoop {
     private static final int TIMEOUT_SECONDS = 20;
 
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Runs a task on the loop and waits for its result; not to be called on the loop itself.
+     * Runs a task on the loop and waits for its result; must not be called on the loop itself.
      *
-     * @throws IllegalStateException where the task fails or takes too long
+     * @throws IllegalStateException if the task fails or does not complete within 20 s
      */
     <T> T call(Supplier<Future<T>> task) {
         CountDownLatch ended = new CountDownLatch(1);
@@ -36,7 +36,8 @@
         promise.future().onComplete(result -> ended.countDown());
         try {
             if (!ended.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                throw new IllegalStateException("the emulated workers did not answer within " + TIMEOUT_SECONDS + " s");
+                throw new IllegalStateException(
+                        "a task on the event loop did not complete within " + TIMEOUT_SECONDS + " s");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/emulator/src/main/java/pearladder/emulator/net/FaultInjectionServer.java
+++ b/emulator/src/main/java/pearladder/emulator/net/FaultInjectionServer.java
@@ -18,9 +18,9 @@
 import pearladder.kserve.JsonBodies;
 
 /**
- * A loopback port by which a scenario injects faults: POST /do?what=slow&amp;engines=e-1,e-2&amp;figure=5. Without
- * engines a command is for all of them. GET /engines lists the workers. Commands are the words of
- * {@link FaultType}.
+ * An HTTP server on a loopback port for injecting faults: POST /do?what=slow&amp;engines=e-1,e-2&amp;figure=5. A
+ * command without engines applies to all workers. GET /engines lists the workers. The values of "what" are the
+ * names returned by {@link FaultType#word}.
  */
 public final class FaultInjectionServer {
     private static final String WORKERS_PATH = "/engines";
@@ -32,12 +32,12 @@
         this.fleet = fleet;
     }
 
-    /** Listens on a port given by the system, which it returns. */
+    /** Starts a server on a port assigned by the system and returns the port. */
     public static int start(Vertx vertx, Fleet fleet) {
-        FaultInjectionServer control = new FaultInjectionServer(fleet);
+        FaultInjectionServer server = new FaultInjectionServer(fleet);
         return fleet.call(() -> vertx.createHttpServer(
                         new HttpServerOptions().setHost("127.0.0.1").setPort(0))
-                .requestHandler(control::handle)
+                .requestHandler(server::handle)
                 .listen()
                 .map(HttpServer::actualPort));
     }
@@ -69,16 +69,16 @@
         };
     }
 
-    private static String parameter(HttpServerRequest request, String name, String otherwise) {
+    private static String parameter(HttpServerRequest request, String name, String defaultValue) {
         String value = request.getParam(name);
-        return value == null ? otherwise : value;
+        return value == null ? defaultValue : value;
     }
 
-    /** The line of a worker: id, zone, "up" where it takes requests, and the number of requests that it holds. */
+    /** Describes a worker in a line: id, zone, "up" if it takes requests, otherwise "down", and requests held. */
     private String describe(String id) {
         WorkerModel worker = fleet.server(id).worker();
         String state = worker.isUp() && !worker.isDraining() ? "up" : "down";
-        return id + ' ' + fleet.hallOf(id) + ' ' + state + ' ' + worker.heldRequests();
+        return id + ' ' + fleet.zoneOf(id) + ' ' + state + ' ' + worker.heldRequests();
     }
 
     private List<String> workers(String ids) {
@@ -94,7 +94,7 @@
                 request.response().setStatusCode(500).end(JsonBodies.error(String.valueOf(failure.getMessage()))));
     }
 
-    /** Empty where the command is unknown. */
+    /** Applies a command to the fleet; returns empty if the command is unknown. */
     private Optional<Future<Void>> apply(FaultCommand command) {
         Optional<Consumer<WorkerModel>> workerFault = command.workerFault();
         if (workerFault.isPresent()) {
@@ -103,12 +103,12 @@
         Optional<Consumer<ModelStore>> modelStoreFault = command.modelStoreFault();
         if (modelStoreFault.isPresent()) {
             modelStoreFault.get().accept(fleet.modelStore());
-            return done();
+            return completed();
         }
         Optional<Consumer<EndpointRegistry>> registryFault = command.registryFault();
         if (registryFault.isPresent()) {
             registryFault.get().accept(fleet.registry());
-            return done();
+            return completed();
         }
         return switch (command.type()) {
             case HANGING -> forEachServer(command, server -> server.setHanging(command.isOn()));
@@ -116,17 +116,17 @@
             case TRUNCATED_RESPONSES -> forEachServer(command, server -> server.setTruncatingResponses(command.isOn()));
             case DRAIN -> forEachId(command, fleet::drain);
             case REPLACE -> forEachId(command, id -> fleet.replace(id, command.nanos()));
-            case KILL -> untilAllDone(command, fleet::kill);
-            case RESTART -> untilAllDone(command, fleet::restart);
+            case KILL -> whenAllComplete(command, fleet::kill);
+            case RESTART -> whenAllComplete(command, fleet::restart);
             case DISCOVERY_RESET -> {
                 fleet.discoveryServer().resetWatches();
-                yield done();
+                yield completed();
             }
             default -> Optional.empty();
         };
     }
 
-    /** Empty where the command is unknown, or the fleet has no fault proxy. */
+    /** Applies a network fault; returns empty if the command is unknown or the fleet has no fault proxy. */
     private Optional<Future<Void>> applyToNetwork(FaultCommand command, String router) {
         FaultProxy proxy = fleet.faultProxy();
         if (proxy == null) {
@@ -146,15 +146,15 @@
 
     private static Optional<Future<Void>> forEachId(FaultCommand command, Consumer<String> action) {
         command.workers().forEach(action);
-        return done();
+        return completed();
     }
 
-    private static Optional<Future<Void>> untilAllDone(FaultCommand command, Function<String, Future<Void>> action) {
+    private static Optional<Future<Void>> whenAllComplete(FaultCommand command, Function<String, Future<Void>> action) {
         List<Future<Void>> all = command.workers().stream().map(action).toList();
         return Optional.of(Future.all(all).mapEmpty());
     }
 
-    private static Optional<Future<Void>> done() {
+    private static Optional<Future<Void>> completed() {
         return Optional.of(Future.succeededFuture());
     }
 }
--- a/emulator/src/main/java/pearladder/emulator/net/FaultProxy.java
+++ b/emulator/src/main/java/pearladder/emulator/net/FaultProxy.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A proxy between routers and workers that emulates network faults. Each router reaches each worker by a route of
- * its own, a relay on a loopback port, which can be cut, have its connections reset, accept no connections, or
- * refuse them while its worker is down. One thread relays for all; the methods here hand it tasks and wait for
- * their end.
+ * A proxy between routers and workers that emulates network faults. Each pair of router and worker has its own route,
+ * a relay on a loopback port. A route can be cut, have its connections reset, accept no connections, or refuse them
+ * while its worker is down. One thread relays for all routes; the methods of this class run tasks on that thread and
+ * wait for their completion.
  */
 public final class FaultProxy implements AutoCloseable {
-    /** How long the thread waits for sockets or tasks before it looks whether it is closed. */
+    /** Time that the thread waits for sockets or tasks before it checks whether the proxy is closed. */
     private static final long SELECT_TIMEOUT_MILLIS = 200;
 
     private record RouteKey(String router, String worker) {}
@@ -45,8 +45,8 @@
     }
 
     /**
-     * The port by which a router reaches a worker; the route is opened when first asked for, or when the worker's
-     * own port has changed.
+     * Returns the port at which a router reaches a worker. Opens the route on the first call and when the worker's own
+     * port has changed.
      */
     int port(String router, String worker, int targetPort) {
         return call(() -> {
@@ -61,22 +61,22 @@
         });
     }
 
-    /** Cuts or restores the routes between routers and workers; an empty name stands for all. */
+    /** Cuts or restores the routes between routers and workers; an empty name matches all. */
     void setCut(String router, String worker, boolean on) {
         forEach(router, worker, route -> route.setCut(on));
     }
 
-    /** Lets a worker's new connections wait for ever, while existing ones go on: handshakes that take too long. */
+    /** Stops or resumes accepting connections to a worker, as with stalled handshakes; open connections are kept. */
     void setNotAccepting(String worker, boolean on) {
         forEach("", worker, route -> route.setNotAccepting(on));
     }
 
-    /** Resets every connection once. */
+    /** Resets the open connections between routers and workers; an empty name matches all. */
     void reset(String router, String worker) {
         forEach(router, worker, ProxyRoute::resetConnections);
     }
 
-    /** The worker's process is gone, or back: connections are refused, or accepted again. */
+    /** Refuses connections while the worker's process is down; accepts them again once it is up. */
     void setDown(String worker, boolean on) {
         forEach("", worker, route -> route.setDown(on));
     }
--- a/emulator/src/main/java/pearladder/emulator/net/Fleet.java
+++ b/emulator/src/main/java/pearladder/emulator/net/Fleet.java
@@ -18,16 +18,16 @@
 import pearladder.kserve.DiscoveryMessage.WorkerState;
 
 /**
- * All emulated workers of a plan with their model store and discovery service, on loopback ports given by the
- * system. One event loop owns them: methods that return a future or act on workers are to be called on it, through
+ * All emulated workers of a plan with their model store and discovery service, on loopback ports assigned by the
+ * system. One event loop owns them: methods that return a future or act on workers must be called on it, through
  * {@link #call} or {@link #run}.
  */
 public final class Fleet {
     private static final String LOOPBACK = "127.0.0.1";
-    /** The registry learns of the first workers without lag; its own lag is set after so long. */
-    private static final long START_WITHOUT_LAG_MILLIS = 20;
-    /** The reported start time of a worker that was warm when the fleet started. */
-    private static final long STARTED_BEFORE = 0;
+    /** Time after the start at which the plan's lag is set; the registry learns of the initial workers without lag. */
+    private static final long LAG_ACTIVATION_DELAY_MILLIS = 20;
+    /** Reported start time, in ms since the epoch, of a worker that is warm when the fleet starts. */
+    private static final long WARM_STARTED_EPOCH_MILLIS = 0;
 
     private final Vertx vertx;
     private final EventLoop loop;
@@ -51,12 +51,12 @@
         this.discoveryServer = new DiscoveryServer(vertx, registry, this::addressedFor);
     }
 
-    /** Starts all workers, warm and listed, and waits until they listen. */
+    /** Starts all workers, warm and in the endpoint list, and waits until they listen. */
     public static Fleet start(Vertx vertx, FleetPlan plan, Consumer<Observation> observations) {
         return start(vertx, plan, 0, observations);
     }
 
-    /** The same with the discovery service on a port of the caller's; 0 lets the system give one. */
+    /** Starts a fleet with the discovery service on a given port, or on one assigned by the system if it is 0. */
     public static Fleet start(Vertx vertx, FleetPlan plan, int discoveryPort, Consumer<Observation> observations) {
         Fleet fleet = new Fleet(vertx, plan, observations);
         fleet.call(() -> fleet.startAll(plan, discoveryPort));
@@ -69,8 +69,8 @@
         for (FleetPlan.PlannedWorker worker : plan.workers()) {
             all = all.compose(done -> add(worker, false));
         }
-        return all.onSuccess(
-                done -> vertx.setTimer(START_WITHOUT_LAG_MILLIS, fired -> registry.setLag(plan.discoveryLagNanos())));
+        return all.onSuccess(done ->
+                vertx.setTimer(LAG_ACTIVATION_DELAY_MILLIS, fired -> registry.setLag(plan.discoveryLagNanos())));
     }
 
     /** Runs a task on the fleet's event loop and waits for its result. */
@@ -78,7 +78,7 @@
         return loop.call(task);
     }
 
-    /** Runs a task on the fleet's event loop and waits for its end. */
+    /** Runs a task on the fleet's event loop and waits for its completion. */
     public void run(Runnable task) {
         call(() -> {
             task.run();
@@ -86,43 +86,43 @@
         });
     }
 
-    /** The port of the discovery service. */
+    /** Returns the port of the discovery service. */
     public int discoveryPort() {
         return discoveryServer.port();
     }
 
-    /** The discovery service. */
+    /** Returns the server of the discovery service. */
     public DiscoveryServer discoveryServer() {
         return discoveryServer;
     }
 
-    /** What the discovery service knows. */
+    /** Returns the endpoint registry behind the discovery service. */
     public EndpointRegistry registry() {
         return registry;
     }
 
-    /** The store that all workers fetch models from. */
+    /** Returns the model store that all workers fetch images from. */
     public ModelStore modelStore() {
         return modelStore;
     }
 
-    /** The network between routers and workers; null where the plan has no fault proxy. */
+    /** Returns the proxy between routers and workers, or null if the plan does not use one. */
     public FaultProxy faultProxy() {
         return faultProxy;
     }
 
-    /** The ids of all workers, those that are down included. */
+    /** Returns the ids of all workers, including those that are down. */
     public List<String> workerIds() {
         return List.copyOf(servers.keySet());
     }
 
-    /** The worker of this id. */
+    /** Returns the server of the worker with this id. */
     public WorkerServer server(String id) {
         return servers.get(id);
     }
 
-    /** The zone of a worker. */
-    public String hallOf(String id) {
+    /** Returns the zone of a worker. */
+    public String zoneOf(String id) {
         return plannedWorkers.get(id).zone();
     }
 
@@ -132,8 +132,10 @@
         servers.put(id, server);
         plannedWorkers.put(id, worker);
         return server.listen()
-                .onSuccess(done ->
-                        announce(id, WorkerState.IN_SERVICE, coldStart ? System.currentTimeMillis() : STARTED_BEFORE));
+                .onSuccess(done -> announce(
+                        id,
+                        WorkerState.IN_SERVICE,
+                        coldStart ? System.currentTimeMillis() : WARM_STARTED_EPOCH_MILLIS));
     }
 
     private void announce(String id, WorkerState state, long startedMillis) {
@@ -149,13 +151,13 @@
                 startedMillis));
     }
 
-    /** A worker announces that it drains: it takes nothing new and finishes what it holds. */
+    /** Drains a worker, which rejects new requests and finishes those that it holds, and announces it as draining. */
     public void drain(String id) {
         servers.get(id).worker().drain();
         announce(id, WorkerState.DRAINING, 0);
     }
 
-    /** A worker's process dies; the registry learns of it after its lag. */
+    /** Kills a worker's process; the registry learns of it after its lag. */
     public Future<Void> kill(String id) {
         Future<Void> closed = servers.get(id).crash();
         if (faultProxy != null) {
@@ -165,7 +167,7 @@
         return closed;
     }
 
-    /** A worker's entry with the address by which a router reaches it. */
+    /** Returns a worker's entry with the address at which a router reaches it. */
     private Entry addressedFor(String router, Entry entry) {
         if (faultProxy == null || entry.state() == WorkerState.GONE) {
             return entry;
@@ -181,7 +183,7 @@
                 entry.startedMillis());
     }
 
-    /** A dead worker starts again on its port, empty and cold; does nothing where it runs. */
+    /** Restarts a dead worker on its former port, cold and without instances; does nothing if it is running. */
     public Future<Void> restart(String id) {
         WorkerServer server = servers.get(id);
         if (server.worker().isUp()) {
@@ -196,7 +198,7 @@
         });
     }
 
-    /** A step of a rolling deployment: the worker drains, goes, and a successor with a new id starts cold. */
+    /** Replaces a worker as in a rolling deployment: drains it, kills it and starts a cold successor with a new id. */
     public Future<Void> replace(String id, long drainNanos) {
         drain(id);
         Promise<Void> replaced = Promise.promise();
@@ -206,7 +208,7 @@
         return replaced.future();
     }
 
-    /** Stops the workers and breaks the connections of the discovery service. */
+    /** Stops the workers and resets the watch connections of the discovery service. */
     public void close() {
         call(() -> {
             List<Future<Void>> closed = new ArrayList<>();
--- a/emulator/src/main/java/pearladder/emulator/net/InferenceBody.java
+++ b/emulator/src/main/java/pearladder/emulator/net/InferenceBody.java
@@ -6,7 +6,7 @@
 import io.vertx.core.buffer.Buffer;
 import java.io.IOException;
 
-/** What the emulated worker reads in the body of an inference request, and writes in that of its response. */
+/** Parses the bodies of inference requests and writes those of their responses. */
 final class InferenceBody {
     private static final JsonFactory JSON = new JsonFactory();
     private static final double NANOS_PER_MILLI = 1e6;
@@ -14,9 +14,9 @@
     private InferenceBody() {}
 
     /**
-     * The work that a test client asks for in {@code parameters.work_ms}, which stands before the inputs.
+     * Parses the work that a test client requests in {@code parameters.work_ms}, which must precede the inputs.
      *
-     * @return nanoseconds; 0 where none is asked for
+     * @return the work in nanoseconds; 0 if none is given
      */
     static long workNanos(Buffer body) {
         try (JsonParser json = JSON.createParser(body.getBytes())) {
@@ -36,7 +36,7 @@
         return 0;
     }
 
-    /** A response whose only output is the size of the request in bytes. */
+    /** Returns a response body whose only output is the size of the request in bytes. */
     static String response(String model, int requestBytes) {
         return "{\"model_name\":\"" + model
                 + "\",\"outputs\":[{\"name\":\"size\",\"datatype\":\"INT64\",\"shape\":[1],\"data\":["
--- a/emulator/src/main/java/pearladder/emulator/net/ProxyConnection.java
+++ b/emulator/src/main/java/pearladder/emulator/net/ProxyConnection.java
@@ -10,7 +10,7 @@
 
 /**
  * One connection through a {@link ProxyRoute}. Each direction has a buffer, which is filled from one end and
- * emptied into the other before more is read, so that a slow receiver holds up its sender.
+ * emptied into the other before more is read, so that a slow receiver exerts back pressure on its sender.
  */
 final class ProxyConnection {
     private static final int BUFFER_BYTES = 64 << 10;
@@ -25,7 +25,7 @@
     private boolean clientEnded;
     private boolean serverEnded;
 
-    /** @param received what the client has already sent */
+    /** @param received bytes that the client has already sent */
     private ProxyConnection(
             ProxyRoute route, Selector selector, SocketChannel client, SocketChannel server, ByteBuffer received) {
         this.route = route;
@@ -38,15 +38,16 @@
     }
 
     /**
-     * Connects an accepted client with the route's target.
+     * Connects an accepted client to the route's target.
      *
-     * @return null where the client has given up or the target refuses
+     * @return the connection, or null if the client has closed its end or the target refuses the connection
      */
     static ProxyConnection open(ProxyRoute route, Selector selector, SocketChannel client) throws IOException {
         client.configureBlocking(false);
         ByteBuffer received = ByteBuffer.allocate(BUFFER_BYTES);
-        if (hasEnded(client, received)) {
-            // It waited to be accepted during a cut and has given up: no network would deliver its bytes now.
+        if (readAndDetectEnd(client, received)) {
+            // The client closed while it waited to be accepted during a cut; a real network would not deliver its
+            // bytes.
             client.close();
             return null;
         }
@@ -67,21 +68,21 @@
         return connection;
     }
 
-    private static boolean hasEnded(SocketChannel client, ByteBuffer received) throws IOException {
+    private static boolean readAndDetectEnd(SocketChannel client, ByteBuffer received) throws IOException {
         if (client.read(received) < 0) {
             return true;
         }
-        boolean mayHoldMore = received.position() > 0 && received.hasRemaining();
-        return mayHoldMore && client.read(received) < 0;
+        boolean mayHaveMore = received.position() > 0 && received.hasRemaining();
+        return mayHaveMore && client.read(received) < 0;
     }
 
-    /** Relays what can be relayed now; closes both ends once one has ended and its bytes are delivered. */
+    /** Relays the available bytes; closes both ends once one has ended and its bytes are delivered. */
     void relay() throws IOException {
         if (!client.isOpen() || route.isCut()) {
             return;
         }
-        clientEnded |= move(client, server, toServer, clientEnded);
-        serverEnded |= move(server, client, toClient, serverEnded);
+        clientEnded |= transfer(client, server, toServer, clientEnded);
+        serverEnded |= transfer(server, client, toClient, serverEnded);
         if (clientEnded && !toServer.hasRemaining() || serverEnded && !toClient.hasRemaining()) {
             client.close();
             server.close();
@@ -91,8 +92,8 @@
         }
     }
 
-    /** Moves what can be moved one way; true once the sender has ended. */
-    private static boolean move(SocketChannel from, SocketChannel to, ByteBuffer buffer, boolean ended)
+    /** Transfers the available bytes in one direction; returns whether the sender has now ended. */
+    private static boolean transfer(SocketChannel from, SocketChannel to, ByteBuffer buffer, boolean ended)
             throws IOException {
         boolean endedNow = false;
         if (!buffer.hasRemaining() && !ended) {
@@ -106,7 +107,7 @@
         return endedNow;
     }
 
-    /** Asks the selector for what the buffers allow; for nothing while the route is cut. */
+    /** Registers interest in the operations that the buffers allow, or in none while the route is cut. */
     void updateInterest() {
         SelectionKey clientKey = client.keyFor(selector);
         SelectionKey serverKey = server.keyFor(selector);
@@ -131,13 +132,13 @@
     }
 
     /**
-     * The route's cut is over. A sender that gave up during the cut would no longer retransmit, so a connection
-     * with an end that has closed is reset with all that it held; otherwise a network fault would be emulated that
+     * Resets the connection, dropping its buffered bytes, if an end closed during a cut that is now over. On a real
+     * network a sender that has closed would no longer retransmit; delivering its bytes would emulate a fault that
      * does not exist.
      */
     void resetIfAnEndHasClosed() {
         try {
-            if (drain(client, toServer) || drain(server, toClient)) {
+            if (readPending(client, toServer) || readPending(server, toClient)) {
                 reset();
             }
         } catch (IOException e) {
@@ -145,8 +146,8 @@
         }
     }
 
-    /** Reads into the buffer what waits at one end; whether that end has closed. */
-    private static boolean drain(SocketChannel end, ByteBuffer buffer) throws IOException {
+    /** Reads the pending bytes of one end into the buffer; returns whether that end has closed. */
+    private static boolean readPending(SocketChannel end, ByteBuffer buffer) throws IOException {
         buffer.compact();
         int read;
         do {
@@ -168,7 +169,7 @@
             end.setOption(StandardSocketOptions.SO_LINGER, RESET_ON_CLOSE);
             end.close();
         } catch (IOException e) {
-            // It is closed already.
+            // The channel is already closed.
         }
     }
 }
--- a/emulator/src/main/java/pearladder/emulator/net/ProxyRoute.java
+++ b/emulator/src/main/java/pearladder/emulator/net/ProxyRoute.java
@@ -10,10 +10,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The way from one router to one worker: a listening loopback port, its faults, and the connections through it. */
+/** The route from one router to one worker: a listening loopback port, its faults, and its connections. */
 final class ProxyRoute {
     private static final String LOOPBACK = "127.0.0.1";
-    /** Short, so that connections are not silently queued while nothing is accepted. */
+    /** A short backlog, so that the system does not queue connections while the route accepts none. */
     private static final int BACKLOG = 1;
 
     private final Selector selector;
@@ -22,7 +22,7 @@
     private final int targetPort;
     private final List<ProxyConnection> connections = new ArrayList<>();
     private ServerSocketChannel listener;
-    /** Given by the system when it first listens, and kept. */
+    /** Assigned by the system on the first {@link #listen} and reused by later ones. */
     private int port;
 
     private boolean cut;
@@ -48,7 +48,7 @@
         return new InetSocketAddress(LOOPBACK, targetPort);
     }
 
-    /** Whether it joins these; an empty name matches all. */
+    /** Returns whether this route connects the router and the worker; an empty name matches all. */
     boolean matches(String wantedRouter, String wantedWorker) {
         return (wantedRouter.isEmpty() || router.equals(wantedRouter))
                 && (wantedWorker.isEmpty() || worker.equals(wantedWorker));
@@ -87,7 +87,7 @@
         connections.remove(connection);
     }
 
-    /** Nothing passes and nobody accepts, as where packets are dropped; or all passes again. */
+    /** Starts or ends a cut, in which no data is relayed and no connection accepted, as if packets were dropped. */
     void setCut(boolean on) {
         cut = on;
         if (!on) {
@@ -96,7 +96,7 @@
         updateInterest();
     }
 
-    /** Nobody accepts new connections, while existing ones go on; or they are accepted again. */
+    /** Stops or resumes accepting new connections; existing ones are still relayed. */
     void setNotAccepting(boolean on) {
         notAccepting = on;
         updateInterest();
@@ -110,7 +110,7 @@
         connections.forEach(ProxyConnection::updateInterest);
     }
 
-    /** The worker's process is gone, so that connections are refused; or it is back. */
+    /** Refuses connections while the worker's process is down; listens again once it is up. */
     void setDown(boolean on) throws IOException {
         if (down == on) {
             return;
--- a/emulator/src/main/java/pearladder/emulator/net/VertxTimeline.java
+++ b/emulator/src/main/java/pearladder/emulator/net/VertxTimeline.java
@@ -3,14 +3,14 @@
 import io.vertx.core.Vertx;
 import pearladder.emulator.Timeline;
 
-/** Real time on an event loop; tasks run up to about a millisecond late, as timers count in milliseconds. */
+/** Real time on an event loop; tasks run up to about 1 ms late, as timers have a resolution of 1 ms. */
 public final class VertxTimeline implements Timeline {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long SHORTEST_TIMER_MILLIS = 1;
 
     private final Vertx vertx;
 
-    /** A timeline whose tasks run on the caller's event loop. */
+    /** Creates a timeline whose tasks run on the caller's event loop. */
     public VertxTimeline(Vertx vertx) {
         this.vertx = vertx;
     }
--- a/emulator/src/main/java/pearladder/emulator/net/WorkerServer.java
+++ b/emulator/src/main/java/pearladder/emulator/net/WorkerServer.java
@@ -25,7 +25,7 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final String CONTENT_TYPE = "content-type";
     private static final String JSON_TYPE = "application/json";
-    /** Announced for a response that is to be broken off, longer than what is sent. */
+    /** Content length announced for a truncated response, more than the bytes sent. */
     private static final String TRUNCATED_LENGTH = "1000";
 
     private final Vertx vertx;
@@ -44,27 +44,27 @@
         this.onOverloadCrash = onOverloadCrash;
     }
 
-    /** The worker behind the port. */
+    /** Returns the model of the worker behind this server. */
     public WorkerModel worker() {
         return worker;
     }
 
-    /** The port on which it listens, which it keeps after a restart. */
+    /** Returns the port that the server listens on, which stays the same after a restart. */
     public int port() {
         return port;
     }
 
-    /** Accepts and reads, and never responds. */
+    /** Sets whether the server accepts connections and reads requests but never responds. */
     public void setHanging(boolean on) {
         hanging = on;
     }
 
-    /** Sends the beginning of a response and then resets the connection. */
+    /** Sets whether the server resets the connection after the beginning of each response. */
     public void setTruncatingResponses(boolean on) {
         truncating = on;
     }
 
-    /** Responds for another model than it was asked for. */
+    /** Sets whether responses name another model than the request. */
     public void setMisnamingModels(boolean on) {
         misnaming = on;
     }
@@ -81,7 +81,7 @@
                 .mapEmpty();
     }
 
-    /** The process dies: every connection breaks. */
+    /** Crashes the worker and closes all connections. */
     Future<Void> crash() {
         worker.crash();
         hanging = false;
@@ -89,7 +89,7 @@
     }
 
     private void handle(HttpServerRequest request) {
-        if (!responds()) {
+        if (!isResponding()) {
             return;
         }
         Route route = Route.of(request.path());
@@ -114,7 +114,7 @@
                 .end();
     }
 
-    private boolean responds() {
+    private boolean isResponding() {
         return !hanging && worker.isUp();
     }
 
@@ -125,13 +125,13 @@
     }
 
     private void infer(HttpServerRequest request, Route route, Buffer body) {
-        if (!responds()) {
+        if (!isResponding()) {
             return;
         }
         WorkerRequest workerRequest = new WorkerRequest(
                 header(request, Headers.ROUTER),
                 header(request, Headers.REQUEST_ID),
-                numberOrZero(header(request, Headers.ATTEMPT)),
+                parseIntOrZero(header(request, Headers.ATTEMPT)),
                 Route.function(route.model(), route.version()),
                 header(request, Headers.IDEMPOTENCY_KEY),
                 InferenceBody.workNanos(body));
@@ -148,12 +148,12 @@
         }
     }
 
-    private boolean isOver(HttpServerResponse response) {
+    private boolean cannotRespond(HttpServerResponse response) {
         return response.ended() || response.closed() || hanging;
     }
 
     private void respond(HttpServerResponse response, Route route, WorkerReply reply, int requestBytes) {
-        if (isOver(response)) {
+        if (cannotRespond(response)) {
             return;
         }
         if (truncating) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /** @param reason for which the request never ran, in the words of its header */
+    /** @param reason value of the header that tells why the request was not executed */
     private static void reject(HttpServerResponse response, int status, String reason, String message) {
         response.setStatusCode(status).putHeader(Headers.NOT_EXECUTED, reason).end(JsonBodies.error(message));
     }
@@ -199,7 +199,7 @@
     }
 
     private void respondToLoad(HttpServerResponse response, WorkerReply reply) {
-        if (isOver(response)) {
+        if (cannotRespond(response)) {
             return;
         }
         response.putHeader(Headers.INSTANCES, Integer.toString(reply.readyInstances()));
@@ -215,7 +215,7 @@
         return value == null ? "" : value;
     }
 
-    private static int numberOrZero(String text) {
+    private static int parseIntOrZero(String text) {
         try {
             return Integer.parseInt(text);
         } catch (NumberFormatException e) {
