--- a/emulator/src/main/java/pearladder/emulator/EndpointRegistry.java
+++ b/emulator/src/main/java/pearladder/emulator/EndpointRegistry.java
@@ -14,7 +14,7 @@
 
 /**
  * The state of the discovery service: the endpoint list with its version, and the routers that watch it. It knows only
- * whether a worker's process runs, and learns of changes after a lag.
+ * whether a worker's process runs, and applies changes after a lag.
  */
 public final class EndpointRegistry {
     /** One router's watch, which receives messages until it is removed. */
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Changes kept for watchers that come back; a watcher further behind gets the whole list. */
+    /** Number of changes kept for reconnecting watchers; a watcher further behind is sent a snapshot. */
     private static final int HISTORY_LIMIT = 200;
 
     private final Timeline time;
@@ -40,12 +40,12 @@
     private long lagNanos;
     private boolean silent;
     private Set<String> hiddenWorkers = Set.of();
-    private Set<String> misledRouters = Set.of();
+    private Set<String> splitViewRouters = Set.of();
 
     /**
-     * An empty registry.
+     * Creates an empty registry.
      *
-     * @param lagNanos after how long it learns of a change
+     * @param lagNanos delay after which a change is applied
      * @param observations receives each entry that a router is sent
      */
     public EndpointRegistry(Timeline time, long lagNanos, Consumer<Observation> observations) {
@@ -54,12 +54,12 @@
         this.observations = observations;
     }
 
-    /** Changes the lag, in nanoseconds; changes under way keep theirs. */
+    /** Sets the lag in nanoseconds of later changes; changes already scheduled keep their lag. */
     public void setLag(long nanos) {
         lagNanos = nanos;
     }
 
-    /** Sends nothing, not even heartbeats, though connections stay; afterwards every watcher gets the whole list. */
+    /** Stops all messages, heartbeats included, on open connections; when turned off, sends everyone a snapshot. */
     public void setSilent(boolean on) {
         silent = on;
         if (!on) {
@@ -67,9 +67,9 @@
         }
     }
 
-    /** Shows some routers an endpoint list without some workers; the others see the whole list. Empty sets end it. */
+    /** Hides the given workers from the given routers; other routers see the whole list. Empty sets end the split. */
     public void setSplitView(Set<String> routers, Set<String> workers) {
-        misledRouters = Set.copyOf(routers);
+        splitViewRouters = Set.copyOf(routers);
         hiddenWorkers = Set.copyOf(workers);
         if (!silent) {
             sendSnapshotToAll();
@@ -80,7 +80,7 @@
         watchers.forEach(watcher -> send(watcher, snapshot()));
     }
 
-    /** A worker has changed; the registry learns of it after the lag. */
+    /** Applies the changed entry of a worker after the lag. */
     public void change(Entry entry) {
         time.after(lagNanos, () -> apply(entry));
     }
@@ -102,16 +102,16 @@
         }
     }
 
-    /** The whole list as it is known now. */
+    /** Returns the current endpoint list. */
     public DiscoveryMessage snapshot() {
         return new DiscoveryMessage(Kind.WHOLE, version, List.copyOf(entries.values()));
     }
 
     /**
-     * Adds a router's watch. It is sent the changes since the version that it has, or the whole list where these are no
-     * longer kept.
+     * Adds a router's watch. It is sent the changes since the router's version, or a snapshot if these are no longer
+     * kept.
      *
-     * @param knownVersion the version that the router has, or 0 for none
+     * @param knownVersion version of the router's endpoint list, or 0 if it has none
      */
     public Watcher watch(String router, long knownVersion, Consumer<DiscoveryMessage> receiver) {
         Watcher watcher = new Watcher(router, receiver);
@@ -151,13 +151,13 @@
 
     private void send(Watcher watcher, DiscoveryMessage complete) {
         DiscoveryMessage message = viewOf(watcher.router, complete);
-        message.entries().forEach(entry -> observations.accept(toldTo(watcher.router, entry)));
+        message.entries().forEach(entry -> observations.accept(endpointSent(watcher.router, entry)));
         watcher.receiver.accept(message);
     }
 
-    /** The message without the workers that are hidden from the router. */
+    /** Removes the workers that are hidden from the router. */
     private DiscoveryMessage viewOf(String router, DiscoveryMessage message) {
-        if (hiddenWorkers.isEmpty() || !misledRouters.contains(router)) {
+        if (hiddenWorkers.isEmpty() || !splitViewRouters.contains(router)) {
             return message;
         }
         List<Entry> visible = message.entries().stream()
@@ -166,7 +166,7 @@
         return new DiscoveryMessage(message.kind(), message.version(), visible);
     }
 
-    private Observation toldTo(String router, Entry entry) {
+    private Observation endpointSent(String router, Entry entry) {
         String state = entry.state().name();
         return new Observation(
                 time.now(), Observation.ENDPOINT_SENT, router, "", 0, entry.worker(), "", state, entry.startedMillis());
--- a/emulator/src/main/java/pearladder/emulator/FaultCommand.java
+++ b/emulator/src/main/java/pearladder/emulator/FaultCommand.java
@@ -6,51 +6,52 @@
 import java.util.function.Consumer;
 
 /**
- * A command that brings a fault, or ends it.
+ * A command that starts or ends a fault.
  *
- * @param workers ids of the workers concerned
- * @param model a model's name or pattern, or several separated by commas; for a split view, the routers misled
- * @param figure a factor, a share or a span in milliseconds; for what is only on or off, on where it is above 0
+ * @param workers ids of the affected workers
+ * @param model model names or patterns separated by commas; for {@link FaultType#DISCOVERY_SPLIT}, the routers that
+ *     the workers are hidden from
+ * @param magnitude a factor, a share, a rate or a duration in milliseconds; an on/off fault is on if it is above 0
  */
-public record FaultCommand(FaultType type, List<String> workers, String model, double figure) {
+public record FaultCommand(FaultType type, List<String> workers, String model, double magnitude) {
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** Whether a fault that is only on or off begins. */
+    /** Returns whether an on/off fault starts. */
     public boolean isOn() {
-        return figure > 0;
+        return magnitude > 0;
     }
 
-    /** The figure of a fault that is a span. */
+    /** Returns the magnitude in nanoseconds, for faults whose magnitude is a duration. */
     public long nanos() {
-        return Math.round(figure * NANOS_PER_MILLI);
+        return Math.round(magnitude * NANOS_PER_MILLI);
     }
 
-    /** The effect on each worker; empty where the command is not for a worker's model. */
+    /** Returns the effect on each worker model; empty if the fault does not affect worker models. */
     public Optional<Consumer<WorkerModel>> workerFault() {
         return Optional.ofNullable(
                 switch (type) {
-                    case SLOWDOWN -> worker -> worker.setSlowdown(figure);
-                    case REQUEST_FAILURES -> worker -> worker.setFailureShare(figure);
+                    case SLOWDOWN -> worker -> worker.setSlowdown(magnitude);
+                    case REQUEST_FAILURES -> worker -> worker.setFailureShare(magnitude);
                     case LATE_REPORTS -> worker -> worker.setReportDelay(nanos());
-                    case LOST_LOAD_REPLIES -> worker -> worker.setLostLoadReplyShare(figure);
-                    case MEMORY_LEAK -> worker -> worker.setMemoryLeak(figure);
+                    case LOST_LOAD_REPLIES -> worker -> worker.setLostLoadReplyShare(magnitude);
+                    case MEMORY_LEAK -> worker -> worker.setMemoryLeak(magnitude);
                     case MODEL_RELEASE -> worker -> List.of(model.split(",")).forEach(worker::invalidateModels);
                     default -> null;
                 });
     }
 
-    /** The effect on the model store; empty where the command is not for it. */
+    /** Returns the effect on the model store; empty if the fault does not affect it. */
     public Optional<Consumer<ModelStore>> modelStoreFault() {
         return Optional.ofNullable(
                 switch (type) {
-                    case MODEL_STORE_SLOWDOWN -> store -> store.setSlowdown(figure);
+                    case MODEL_STORE_SLOWDOWN -> store -> store.setSlowdown(magnitude);
                     case MODEL_STORE_REJECTING -> store -> store.setRejectingAll(isOn());
                     case MODEL_STORE_DAMAGED -> store -> store.setServingDamagedImages(isOn());
                     default -> null;
                 });
     }
 
-    /** The effect on the endpoint registry; empty where the command is not for it. */
+    /** Returns the effect on the endpoint registry; empty if the fault does not affect it. */
     public Optional<Consumer<EndpointRegistry>> registryFault() {
         return Optional.ofNullable(
                 switch (type) {
--- a/emulator/src/main/java/pearladder/emulator/FaultType.java
+++ b/emulator/src/main/java/pearladder/emulator/FaultType.java
@@ -3,25 +3,25 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** The kinds of faults that can be injected, with the words by which scenarios name them. */
+/** The kinds of faults that can be injected, with their names in scenarios. */
 public enum FaultType {
     /** Workers run slower by a factor. */
     SLOWDOWN("slow"),
     /** Workers fail a share of their requests. */
     REQUEST_FAILURES("failing"),
-    /** Workers' load reports are late by a span. */
+    /** Workers' load reports are delayed by a duration. */
     LATE_REPORTS("late-reports"),
     /** Workers lose a share of their replies to load requests. */
     LOST_LOAD_REPLIES("losing"),
     /** Workers leak memory, in MB a second. */
     MEMORY_LEAK("leak"),
-    /** A new release of models voids their instances and images. */
+    /** A new release of models invalidates their instances and images. */
     MODEL_RELEASE("release"),
-    /** Workers accept and read, and never respond. */
+    /** Workers accept connections and read requests but never respond. */
     HANGING("hang"),
-    /** Workers respond for another model than they were asked for. */
+    /** Workers' responses name another model than the request. */
     MISNAMED_MODELS("misname"),
-    /** Workers break off their responses. */
+    /** Workers reset the connection in the middle of a response. */
     TRUNCATED_RESPONSES("garble"),
     /** Workers drain. */
     DRAIN("drain"),
@@ -29,15 +29,15 @@
     KILL("kill"),
     /** Dead workers start again. */
     RESTART("restart"),
-    /** Workers drain for a span and are replaced by new ones. */
+    /** Workers drain for a duration and are then replaced by new ones. */
     REPLACE("replace"),
     /** Workers' processes are paused; only in simulations. */
     PAUSE("pause"),
-    /** Nothing comes back from workers; only in simulations. */
+    /** No data passes from workers to routers; only in simulations. */
     RESPONSE_PATH_CUT("cut-back"),
-    /** Nothing passes between routers and workers. */
+    /** No data passes between routers and workers. */
     NETWORK_CUT("cable-cut"),
-    /** New connections to workers wait for ever. */
+    /** New connections to workers are not accepted and hang. */
     NOT_ACCEPTING("cable-deaf"),
     /** Connections to workers are reset once. */
     CONNECTION_RESET("cable-reset"),
@@ -47,9 +47,9 @@
     MODEL_STORE_REJECTING("shelf-refuse"),
     /** The model store serves damaged images. */
     MODEL_STORE_DAMAGED("shelf-damage"),
-    /** The discovery service sends nothing. */
+    /** The discovery service sends no messages. */
     DISCOVERY_SILENT("list-silent"),
-    /** The discovery service learns of changes after a span. */
+    /** The discovery service applies changes after a delay. */
     DISCOVERY_LAG("list-lag"),
     /** The discovery service hides workers from some routers. */
     DISCOVERY_SPLIT("list-split"),
@@ -62,12 +62,12 @@
         this.word = word;
     }
 
-    /** The word by which scenarios and fault commands name it. */
+    /** Returns the name of the fault in scenarios and fault commands. */
     public String word() {
         return word;
     }
 
-    /** The kind of fault of this word; empty where there is none. */
+    /** Returns the fault with this name in scenarios; empty if there is none. */
     public static Optional<FaultType> of(String word) {
         return Arrays.stream(values()).filter(type -> type.word.equals(word)).findFirst();
     }
--- a/emulator/src/main/java/pearladder/emulator/FleetPlan.java
+++ b/emulator/src/main/java/pearladder/emulator/FleetPlan.java
@@ -8,12 +8,12 @@
 /**
  * A fleet of emulated workers as a scenario file describes it.
  *
- * @param seed of all random draws of the workers
- * @param modelStoreCapacity fetches that the model store serves at full speed together
- * @param modelStoreFetchLimit fetches under way at the most
- * @param discoveryLagNanos how late the endpoint registry learns of a change
+ * @param seed seed of all random draws of the workers
+ * @param modelStoreCapacity number of concurrent fetches that the model store serves at full speed
+ * @param modelStoreFetchLimit maximum number of concurrent fetches
+ * @param discoveryLagNanos delay after which the endpoint registry applies a change
  * @param usesFaultProxy whether each router reaches each worker through a fault proxy
- * @param models families of models; the first that matches a name counts
+ * @param models families of models; the first that matches a model's name applies
  * @param workers the workers to start
  */
 public record FleetPlan(
@@ -28,24 +28,25 @@
      * One worker to start.
      *
      * @param id unique in the fleet
-     * @param zone the zone it is in
+     * @param zone name of its zone
      * @param cell number of its cell, a group of workers within the zone
      */
     public record PlannedWorker(String id, WorkerKind kind, String zone, long cell) {}
 
-    /** Cells of different zones differ by a multiple of this. */
+    /** Size of the range of cell numbers that each zone has. */
     private static final long CELL_NUMBERS_PER_ZONE = 10_000;
 
     private static final int MAX_WORKERS_PER_GROUP = 10_000;
     private static final String DEFAULT_ZONE = "hall";
     private static final double BYTES_PER_MB = 1e6;
 
-    /** Reads the "fleet" part of a file; mistakes are reported with their lines. */
+    /** Reads the "fleet" section of a file; mistakes are reported with their line numbers. */
     public static FleetPlan read(ConfigValue fleet) {
         ConfigValue modelStore = fleet.at("shelf");
         Map<String, WorkerKind> kinds = fleet.at("kinds").eachKey(FleetPlan::readWorkerKind);
         if (kinds.isEmpty()) {
-            fleet.at("kinds").addMistake("a kind of engine is missing", "write one with its cores and memory");
+            fleet.at("kinds")
+                    .addMistake("no kind of engine is defined", "define at least one with its cores and memory");
         }
         List<PlannedWorker> workers = new ArrayList<>();
         for (ConfigValue group : fleet.at("engines").each(value -> value)) {
@@ -64,12 +65,12 @@
                 workers);
     }
 
-    /** Reads a group of like workers, spread over its zones in turn. */
+    /** Reads a group of workers of one kind, distributed round-robin over the group's zones. */
     private static List<PlannedWorker> readGroup(ConfigValue group, Map<String, WorkerKind> kinds) {
         String name = group.at("name").text();
         String kind = group.at("kind").text();
         List<String> zones = group.at("halls").each(ConfigValue::text);
-        int perCell = group.at("per_cell").whole(4, 1, MAX_WORKERS_PER_GROUP);
+        int workersPerCell = group.at("per_cell").whole(4, 1, MAX_WORKERS_PER_GROUP);
         int count = group.at("count").whole(1, 1, MAX_WORKERS_PER_GROUP);
         if (!kinds.containsKey(kind)) {
             group.at("kind")
@@ -80,7 +81,7 @@
         for (int i = 0; i < count; i++) {
             String zone = zones.isEmpty() ? DEFAULT_ZONE : zones.get(i % zones.size());
             int indexInZone = zones.isEmpty() ? i : i / zones.size();
-            long cell = Math.max(0, zones.indexOf(zone)) * CELL_NUMBERS_PER_ZONE + indexInZone / perCell;
+            long cell = Math.max(0, zones.indexOf(zone)) * CELL_NUMBERS_PER_ZONE + indexInZone / workersPerCell;
             workers.add(new PlannedWorker(name + "-" + i, kinds.get(kind), zone, cell));
         }
         return workers;
@@ -121,7 +122,8 @@
     }
 
     /**
-     * The length of one of a load's two phases, which are given each, or as the whole load and the fetch's share of it.
+     * Reads the duration of a phase of a load. A file gives either both durations, or that of the whole load and the
+     * share of the fetch in it.
      *
      * @param phase "fetch" or "start"
      */
@@ -132,15 +134,15 @@
         if (model.at("fetch").isGiven() || model.at("start").isGiven()) {
             model.at("load")
                     .addMistake(
-                            "a load is told, and its fetch or start beside it",
-                            "keep load and fetch_share, or fetch and start");
+                            "\"load\" is given together with \"fetch\" or \"start\"",
+                            "give either load and fetch_share, or fetch and start");
         }
         double fetchShare = model.at("fetch_share").number(0.75, 0, 1);
         double share = phase.equals("fetch") ? fetchShare : 1 - fetchShare;
         return Math.round(model.at("load").span() * share);
     }
 
-    /** The kind of the model of this name, or null where none matches; the first that matches counts. */
+    /** Returns the first family that the model's name matches, or null if none does. */
     public ModelKind modelOf(String name) {
         for (ModelKind model : models) {
             if (model.matches(name)) {
--- a/emulator/src/main/java/pearladder/emulator/IdempotencyCache.java
+++ b/emulator/src/main/java/pearladder/emulator/IdempotencyCache.java
@@ -4,20 +4,20 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The idempotency keys that a group of workers has run: a duplicate is dropped for so long after the first run. */
+/** The idempotency keys that a group of workers has run; each is kept for a window after its first run. */
 public final class IdempotencyCache {
     private final Timeline time;
     private final long windowNanos;
-    /** When each key expires; all stay equally long, so the oldest come first. */
+    /** Expiry time of each key; all have the same lifetime, so insertion order is expiry order. */
     private final Map<String, Long> expiresAt = new LinkedHashMap<>();
 
-    /** A cache that keeps each key for so many nanoseconds. */
+    /** Creates a cache that keeps each key for {@code windowNanos}. */
     public IdempotencyCache(Timeline time, long windowNanos) {
         this.time = time;
         this.windowNanos = windowNanos;
     }
 
-    /** Whether the key has run within the window; the empty key never has. */
+    /** Returns whether a request with the key has run within the window; always false for the empty key. */
     boolean contains(String key) {
         removeExpired();
         return !key.isEmpty() && expiresAt.containsKey(key);
--- a/emulator/src/main/java/pearladder/emulator/InstancePool.java
+++ b/emulator/src/main/java/pearladder/emulator/InstancePool.java
@@ -10,8 +10,8 @@
 import pearladder.kserve.Route;
 
 /**
- * The model instances in a worker's memory: loads them through the model store, unloads idle ones after a time or
- * to make room for others. The instances never take more memory than the worker has.
+ * The model instances in a worker's memory. Loads instances through the model store and unloads idle ones after a
+ * timeout or to free memory for others. The instances never take more memory than the worker has.
  */
 final class InstancePool {
     /** Notified when a load has ended. */
@@ -19,7 +19,7 @@
         /** A load failed and the model has no other instance, ready or loading. */
         void onModelUnavailable(String model);
 
-        /** A load ended, whether it succeeded or not; instances and memory may be free. */
+        /** A load succeeded or failed; slots or memory may have become free. */
         void onLoadEnded();
     }
 
@@ -33,7 +33,7 @@
     private final ArrayDeque<ModelInstance> loadQueue = new ArrayDeque<>();
     private final Set<String> cachedImages = new HashSet<>();
     private int activeLoads;
-    /** Counts the process's deaths: what a load of an earlier incarnation brings is dropped. */
+    /** Number of crashes so far; the results of loads started in an earlier incarnation are dropped. */
     private int incarnation;
 
     InstancePool(WorkerEnvironment environment, WorkerKind kind, WorkerObserver observer, Listener listener) {
@@ -49,36 +49,36 @@
         return leak;
     }
 
-    /** All instances, ready and loading. */
+    /** Lists all instances, ready and loading. */
     List<ModelInstance> instances() {
         return List.copyOf(instances);
     }
 
-    /** The instances of the model's current release, ready and loading. */
+    /** Lists the instances of the model's current release, ready and loading. */
     List<ModelInstance> current(String model) {
-        return instances.stream().filter(one -> one.isCurrent(model)).toList();
+        return instances.stream().filter(instance -> instance.isCurrent(model)).toList();
     }
 
     boolean hasCurrent(String model) {
-        return instances.stream().anyMatch(one -> one.isCurrent(model));
+        return instances.stream().anyMatch(instance -> instance.isCurrent(model));
     }
 
     boolean isLoading(String model) {
-        return instances.stream().anyMatch(one -> one.isLoading(model));
+        return instances.stream().anyMatch(instance -> instance.isLoading(model));
     }
 
     int readyCount(String model) {
         return (int) instances.stream()
-                .filter(one -> one.ready && one.isCurrent(model))
+                .filter(instance -> instance.ready && instance.isCurrent(model))
                 .count();
     }
 
-    /** Loads that run or wait for a loader. */
+    /** Returns the number of loads that are running or queued. */
     int pendingLoads() {
         return activeLoads + loadQueue.size();
     }
 
-    /** The ready instance with a free slot that runs the fewest requests, or null. */
+    /** Returns the ready instance with a free slot that runs the fewest requests, or null if there is none. */
     ModelInstance leastBusyWithFreeSlot(String model) {
         ModelInstance best = null;
         for (ModelInstance instance : instances) {
@@ -89,24 +89,24 @@
         return best;
     }
 
-    /** Memory that instances, ready and loading, and the leak take. */
+    /** Returns the memory taken by instances, ready and loading, and by the leak. */
     double usedMemoryMb() {
-        return leak.lostMb() + memoryMbOf(instance -> true);
+        return leak.leakedMb() + memoryMbOf(instance -> true);
     }
 
-    /** Memory of the instances that can't be unloaded now. */
+    /** Returns the memory of the instances that cannot be unloaded now, being loading or in use. */
     double pinnedMemoryMb() {
         return memoryMbOf(instance -> !instance.isIdle());
     }
 
-    private double memoryMbOf(Predicate<ModelInstance> which) {
+    private double memoryMbOf(Predicate<ModelInstance> filter) {
         return instances.stream()
-                .filter(which)
+                .filter(filter)
                 .mapToDouble(instance -> instance.kind.memoryMb())
                 .sum();
     }
 
-    /** Starts a load, unloading idle instances where memory is short; null where there is not enough. */
+    /** Starts a load, unloading idle instances if needed; returns null if there is not enough memory. */
     ModelInstance load(String model, ModelKind modelKind) {
         double freeMb = kind.memoryMb() - usedMemoryMb();
         double idleMb = memoryMbOf(ModelInstance::isIdle);
@@ -121,7 +121,7 @@
         return instance;
     }
 
-    /** Unloads idle instances, the longest idle first, until so much memory is free or none is left. */
+    /** Unloads idle instances, the longest idle first, until {@code neededMb} is free or none is left. */
     private void makeRoom(double neededMb) {
         while (kind.memoryMb() - usedMemoryMb() < neededMb && instances.stream().anyMatch(ModelInstance::isIdle)) {
             instances.stream()
@@ -141,28 +141,28 @@
         activeLoads++;
         instance.loadStartedAt = time.now();
         instance.fetchedAt = time.now();
-        int startedBy = incarnation;
+        int loadIncarnation = incarnation;
         if (kind.cachesImages() && cachedImages.contains(instance.model)) {
-            startInstance(instance, startedBy);
+            startInstance(instance, loadIncarnation);
             return;
         }
         modelStore.fetch(instance.kind.fetchNanos(), fetched -> {
             instance.fetchedAt = time.now();
-            if (incarnation == startedBy && fetched) {
+            if (incarnation == loadIncarnation && fetched) {
                 cachedImages.add(instance.model);
-                startInstance(instance, startedBy);
+                startInstance(instance, loadIncarnation);
             } else {
-                onLoadEnded(instance, false, startedBy);
+                onLoadEnded(instance, false, loadIncarnation);
             }
         });
     }
 
-    private void startInstance(ModelInstance instance, int startedBy) {
-        time.after(instance.kind.startNanos(), () -> onLoadEnded(instance, true, startedBy));
+    private void startInstance(ModelInstance instance, int loadIncarnation) {
+        time.after(instance.kind.startNanos(), () -> onLoadEnded(instance, true, loadIncarnation));
     }
 
-    private void onLoadEnded(ModelInstance instance, boolean fetched, int startedBy) {
-        if (incarnation != startedBy) {
+    private void onLoadEnded(ModelInstance instance, boolean fetched, int loadIncarnation) {
+        if (incarnation != loadIncarnation) {
             return;
         }
         activeLoads--;
@@ -183,12 +183,12 @@
         listener.onLoadEnded();
     }
 
-    /** A request begins to run on an instance. */
+    /** Counts a request that starts to run on an instance. */
     void occupySlot(ModelInstance instance) {
         instance.runningRequests++;
     }
 
-    /** A request on an instance has ended. */
+    /** Counts a request that has ended on an instance. */
     void releaseSlot(ModelInstance instance) {
         instance.runningRequests--;
         if (instance.runningRequests > 0) {
@@ -201,7 +201,7 @@
         }
     }
 
-    /** Starts anew the time after which an idle instance is unloaded. */
+    /** Restarts the timeout after which an idle instance is unloaded. */
     void startIdleTimer(ModelInstance instance) {
         instance.idleSince = time.now();
         long idleSince = instance.idleSince;
@@ -226,7 +226,7 @@
                 .forEach(this::unload);
     }
 
-    /** A new release of the models that match: their instances and images are void. */
+    /** Invalidates the instances and cached images of the models that match, as a new release does. */
     void invalidate(String pattern) {
         cachedImages.removeIf(model -> Route.matches(pattern, model));
         for (ModelInstance instance : List.copyOf(instances)) {
@@ -239,7 +239,7 @@
         }
     }
 
-    /** The process dies: instances, images and loads are lost. */
+    /** Drops all instances, images and loads, as a crash of the process does. */
     void clear() {
         incarnation++;
         observer.unloaded(instances.stream().filter(instance -> instance.ready).count());
--- a/emulator/src/main/java/pearladder/emulator/LoadReporter.java
+++ b/emulator/src/main/java/pearladder/emulator/LoadReporter.java
@@ -5,10 +5,10 @@
 import java.util.function.DoubleFunction;
 import pearladder.kserve.LoadReport;
 
-/** A worker's load reports: measured seldom, with a little noise, and delayed on demand. */
+/** Measures a worker's load reports at intervals, with noise, and delays them if a fault asks for it. */
 final class LoadReporter {
-    private static final double NOISE_LOWEST = 0.95;
-    private static final double NOISE_RANGE = 0.1;
+    private static final double MIN_NOISE_FACTOR = 0.95;
+    private static final double NOISE_FACTOR_RANGE = 0.1;
 
     private record TimedReport(long at, LoadReport report) {}
 
@@ -21,7 +21,7 @@
     private long measuredAt;
     private long delayNanos;
 
-    /** @param measure measures the load, its counts multiplied by the noise factor given */
+    /** @param measure measures the load, with its request counts multiplied by the given noise factor */
     LoadReporter(Timeline time, long intervalNanos, SplittableRandom random, DoubleFunction<LoadReport> measure) {
         this.time = time;
         this.intervalNanos = intervalNanos;
@@ -29,12 +29,12 @@
         this.measure = measure;
     }
 
-    /** Reports from now on say what was so long ago. */
+    /** Sets the age in nanoseconds of the reports that are returned. */
     void setDelay(long nanos) {
         delayNanos = nanos;
     }
 
-    /** Forgets all reports, as the process has restarted. */
+    /** Clears all reports after a restart of the process. */
     void reset() {
         current = null;
         history.clear();
@@ -43,7 +43,7 @@
     LoadReport report() {
         if (current == null || time.now() - measuredAt >= intervalNanos) {
             measuredAt = time.now();
-            double noise = NOISE_LOWEST + NOISE_RANGE * random.nextDouble();
+            double noise = MIN_NOISE_FACTOR + NOISE_FACTOR_RANGE * random.nextDouble();
             current = measure.apply(noise);
             history.add(new TimedReport(time.now(), current));
         }
@@ -54,7 +54,7 @@
         return reported;
     }
 
-    /** The newest report that is old enough, otherwise the oldest that is kept. */
+    /** Returns the newest report that is at least as old as the delay, otherwise the oldest kept. */
     private LoadReport delayedReport() {
         LoadReport reported = null;
         for (TimedReport past : history) {
--- a/emulator/src/main/java/pearladder/emulator/MemoryLeak.java
+++ b/emulator/src/main/java/pearladder/emulator/MemoryLeak.java
@@ -1,34 +1,34 @@
 package pearladder.emulator;
 
-/** Memory that a worker loses for good at a steady rate until it restarts. */
+/** A leak that takes a worker's memory at a constant rate until the worker restarts. */
 final class MemoryLeak {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Timeline time;
     private double mbPerSecond;
     private long startedAt;
-    private double lostBeforeMb;
+    private double leakedBeforeMb;
 
     MemoryLeak(Timeline time) {
         this.time = time;
     }
 
-    /** Leaks at this rate from now on; 0 stops the leak and leaves what is lost as it is. */
+    /** Sets the rate of the leak; 0 stops it without freeing the leaked memory. */
     void setRate(double newMbPerSecond) {
-        double lostMb = lostMb();
+        double leakedMb = leakedMb();
         mbPerSecond = newMbPerSecond;
         startedAt =
-                newMbPerSecond > 0 ? time.now() - Math.round(lostMb / newMbPerSecond * NANOS_PER_SECOND) : time.now();
-        lostBeforeMb = newMbPerSecond > 0 ? 0 : lostMb;
+                newMbPerSecond > 0 ? time.now() - Math.round(leakedMb / newMbPerSecond * NANOS_PER_SECOND) : time.now();
+        leakedBeforeMb = newMbPerSecond > 0 ? 0 : leakedMb;
     }
 
-    /** A restart: all memory is back. */
+    /** Stops the leak and frees the leaked memory, as a restart does. */
     void reset() {
         mbPerSecond = 0;
-        lostBeforeMb = 0;
+        leakedBeforeMb = 0;
     }
 
-    double lostMb() {
-        return lostBeforeMb + mbPerSecond * (time.now() - startedAt) / NANOS_PER_SECOND;
+    double leakedMb() {
+        return leakedBeforeMb + mbPerSecond * (time.now() - startedAt) / NANOS_PER_SECOND;
     }
 }
--- a/emulator/src/main/java/pearladder/emulator/ModelInstance.java
+++ b/emulator/src/main/java/pearladder/emulator/ModelInstance.java
@@ -12,7 +12,7 @@
     final List<Consumer<Boolean>> loadListeners = new ArrayList<>();
 
     boolean ready;
-    /** A newer release of the model voids the instance: it takes no new requests. */
+    /** Set when a newer release of the model exists; the instance then takes no new requests. */
     boolean stale;
 
     long loadStartedAt;
@@ -29,7 +29,7 @@
         return ready && runningRequests == 0;
     }
 
-    /** Whether it is one of the model's current release, ready or loading. */
+    /** Returns whether this is an instance of the model's current release, ready or loading. */
     boolean isCurrent(String wantedModel) {
         return model.equals(wantedModel) && !stale;
     }
@@ -42,7 +42,7 @@
         return ready && isCurrent(wantedModel) && runningRequests < kind.concurrency();
     }
 
-    /** Which part of the load's time the fetch took, 0 to 1. */
+    /** Returns the share of the load's duration that the fetch took, 0 to 1. */
     double fetchShare(long now) {
         return (double) (fetchedAt - loadStartedAt) / Math.max(1, now - loadStartedAt);
     }
--- a/emulator/src/main/java/pearladder/emulator/ModelStore.java
+++ b/emulator/src/main/java/pearladder/emulator/ModelStore.java
@@ -5,14 +5,14 @@
 import java.util.function.Consumer;
 
 /**
- * The shared store that workers fetch model images from. Concurrent fetches share its capacity equally, and it rejects
- * those beyond a limit.
+ * The shared store that workers fetch model images from. Concurrent fetches share its capacity equally; fetches beyond
+ * a limit are rejected.
  */
 public final class ModelStore {
-    /** How long the rejection of a fetch takes. */
+    /** Time after which a rejected fetch fails. */
     private static final long REJECTION_NANOS = 1_000_000;
-    /** A fetch with less time left than this, in nanoseconds at full speed, is complete. */
-    private static final double COMPLETE_BELOW = 1;
+    /** A fetch with less remaining time than this, in nanoseconds at full speed, is complete. */
+    private static final double COMPLETION_TOLERANCE_NANOS = 1;
 
     private static final class Fetch {
         final Consumer<Boolean> onEnded;
@@ -29,16 +29,16 @@
     private final int fetchLimit;
     private final List<Fetch> active = new ArrayList<>();
     private Timeline.ScheduledTask nextCompletion;
-    private long accountedUntil;
+    private long lastAccountedAt;
     private double slowdown = 1;
     private boolean rejectingAll;
     private boolean servingDamagedImages;
 
     /**
-     * A store without load.
+     * Creates a store without active fetches.
      *
-     * @param capacity fetches that together still run at full speed
-     * @param fetchLimit fetches under way at the most; further ones are rejected
+     * @param capacity maximum number of concurrent fetches at full speed
+     * @param fetchLimit maximum number of concurrent fetches; further ones are rejected
      */
     public ModelStore(Timeline time, double capacity, int fetchLimit) {
         this.time = time;
@@ -46,19 +46,19 @@
         this.fetchLimit = fetchLimit;
     }
 
-    /** Runs so many times slower than usual, at least 1. */
+    /** Divides the speed of all fetches by a factor, at least 1. */
     public void setSlowdown(double factor) {
         accountProgress();
         slowdown = Math.max(1, factor);
         scheduleNextCompletion();
     }
 
-    /** Rejects every new fetch, or none that is within the limit. */
+    /** Sets whether every new fetch is rejected, or only those beyond the limit. */
     public void setRejectingAll(boolean on) {
         rejectingAll = on;
     }
 
-    /** Serves damaged images: a fetch takes its time and then fails. */
+    /** Sets whether images are damaged: a fetch then takes its usual time and fails. */
     public void setServingDamagedImages(boolean on) {
         servingDamagedImages = on;
     }
@@ -66,8 +66,8 @@
     /**
      * Starts a fetch.
      *
-     * @param fullSpeedNanos how long it takes at full speed
-     * @param onEnded called later with whether it brought an image that can be started
+     * @param fullSpeedNanos duration of the fetch at full speed
+     * @param onEnded called after this method with whether the fetch delivered a usable image
      */
     public void fetch(long fullSpeedNanos, Consumer<Boolean> onEnded) {
         if (rejectingAll || active.size() >= fetchLimit) {
@@ -79,14 +79,14 @@
         scheduleNextCompletion();
     }
 
-    /** The speed of each fetch, 1 for full speed. */
+    /** Returns the speed of each fetch, 1 for full speed. */
     private double rate() {
         return Math.min(1, capacity / Math.max(1, active.size())) / slowdown;
     }
 
     private void accountProgress() {
-        double progress = (time.now() - accountedUntil) * rate();
-        accountedUntil = time.now();
+        double progress = (time.now() - lastAccountedAt) * rate();
+        lastAccountedAt = time.now();
         active.forEach(fetch -> fetch.remainingNanos -= progress);
     }
 
@@ -95,18 +95,19 @@
             nextCompletion.cancel();
         }
         if (!active.isEmpty()) {
-            double least = active.stream()
+            double leastRemainingNanos = active.stream()
                     .mapToDouble(fetch -> fetch.remainingNanos)
                     .min()
                     .orElse(0);
-            nextCompletion = time.after((long) Math.ceil(Math.max(0, least) / rate()), this::onCompletionDue);
+            nextCompletion =
+                    time.after((long) Math.ceil(Math.max(0, leastRemainingNanos) / rate()), this::onCompletionDue);
         }
     }
 
     private void onCompletionDue() {
         accountProgress();
         List<Fetch> completed = active.stream()
-                .filter(fetch -> fetch.remainingNanos < COMPLETE_BELOW)
+                .filter(fetch -> fetch.remainingNanos < COMPLETION_TOLERANCE_NANOS)
                 .toList();
         active.removeAll(completed);
         scheduleNextCompletion();
--- a/emulator/src/main/java/pearladder/emulator/ObservationLog.java
+++ b/emulator/src/main/java/pearladder/emulator/ObservationLog.java
@@ -35,9 +35,9 @@
     private final JsonGenerator json;
 
     /**
-     * Starts a log; an existing file is replaced, missing folders are made.
+     * Creates a log file, replacing an existing one, and its missing parent folders.
      *
-     * @throws UncheckedIOException where the file can't be written
+     * @throws UncheckedIOException if the file cannot be written
      */
     public ObservationLog(Path file) {
         try {
@@ -50,7 +50,7 @@
             json.setPrettyPrinter(new MinimalPrettyPrinter("\n"));
             json.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
         } catch (IOException e) {
-            throw new UncheckedIOException("the observation log can't be written: " + file, e);
+            throw new UncheckedIOException("cannot create observation log " + file, e);
         }
     }
 
@@ -73,7 +73,7 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("the observation log can't be written", e);
+            throw new UncheckedIOException("cannot write to the observation log", e);
         }
     }
 
@@ -83,13 +83,13 @@
         }
     }
 
-    /** Writes to the file what was observed up to now. */
+    /** Flushes all observations so far to the file. */
     public synchronized void flush() {
         try {
             json.flush();
             writer.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("the observation log can't be written", e);
+            throw new UncheckedIOException("cannot write to the observation log", e);
         }
     }
 
@@ -101,7 +101,7 @@
     /**
      * Reads a log line by line.
      *
-     * @return how many lines were malformed; after a crash at most the last one of each run
+     * @return number of malformed lines; after a crash at most the last line of each run is malformed
      */
     public static int read(Path file, Consumer<Observation> receiver) throws IOException {
         int malformed = 0;
@@ -116,7 +116,7 @@
         return malformed;
     }
 
-    /** The values of one line as they are read. */
+    /** The field values of a line while it is parsed. */
     private static final class Fields {
         long at;
         String event = "";
@@ -128,8 +128,8 @@
         String note = "";
         double value;
 
-        /** Takes the current value; fields unknown here are skipped. */
-        void read(String name, JsonParser parser) throws IOException {
+        /** Stores the parser's current value under a field name; unknown fields are skipped. */
+        void set(String name, JsonParser parser) throws IOException {
             switch (name) {
                 case AT -> at = parser.getLongValue();
                 case EVENT -> event = parser.getText();
@@ -149,7 +149,7 @@
         }
     }
 
-    /** Empty where the line is malformed. */
+    /** Parses a line; returns empty if it is malformed. */
     private static Optional<Observation> parse(String line) {
         Fields fields = new Fields();
         try (JsonParser parser = JSON.createParser(line)) {
@@ -159,7 +159,7 @@
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String name = parser.currentName();
                 parser.nextToken();
-                fields.read(name, parser);
+                fields.set(name, parser);
             }
             return parser.currentToken() == JsonToken.END_OBJECT
                     ? Optional.of(fields.toObservation())
--- a/emulator/src/main/java/pearladder/emulator/PendingRequest.java
+++ b/emulator/src/main/java/pearladder/emulator/PendingRequest.java
@@ -2,16 +2,16 @@
 
 import java.util.function.Consumer;
 
-/** A request that a worker holds, waiting or running; its handle for the caller. */
+/** A queued or running request of a worker; the caller can cancel it. */
 public final class PendingRequest {
     final WorkerRequest request;
     final Consumer<WorkerReply> replyTo;
     final int concurrentRequests;
-    /** What is left to do, in nanoseconds on a core of speed 1. */
+    /** Remaining work in nanoseconds on a core of speed 1. */
     double remainingWork;
 
     InstanceState instanceState;
-    /** The instance that runs it; null while it waits. */
+    /** The instance that runs the request; null while the request is queued. */
     ModelInstance instance;
 
     boolean ended;
@@ -30,7 +30,7 @@
         this.replyTo = replyTo;
     }
 
-    /** The caller is gone: waiting work is dropped, running work stops where the kind of worker does that. */
+    /** Removes a queued request; stops a running one if {@link WorkerKind#stopsOnCancel} is set. */
     public void cancel() {
         if (!ended) {
             worker.cancel(this);
--- a/emulator/src/main/java/pearladder/emulator/ProcessorSharing.java
+++ b/emulator/src/main/java/pearladder/emulator/ProcessorSharing.java
@@ -8,15 +8,15 @@
  * core. Progress is accounted for whenever the share changes, and one timer is set for the next completion.
  */
 final class ProcessorSharing {
-    /** A request with less work left than this, in nanoseconds, is complete. */
-    private static final double COMPLETE_BELOW = 1;
+    /** A request with less remaining work than this, in nanoseconds, is complete. */
+    private static final double COMPLETION_TOLERANCE_NANOS = 1;
 
     private final Timeline time;
     private final WorkerKind kind;
     private final Runnable onCompletionDue;
     private final List<PendingRequest> running = new ArrayList<>();
     private Timeline.ScheduledTask nextCompletion;
-    private long accountedUntil;
+    private long lastAccountedAt;
     private double slowdown = 1;
     private boolean paused;
 
@@ -25,7 +25,7 @@
         this.time = time;
         this.kind = kind;
         this.onCompletionDue = onCompletionDue;
-        this.accountedUntil = time.now();
+        this.lastAccountedAt = time.now();
     }
 
     List<PendingRequest> running() {
@@ -42,67 +42,67 @@
         scheduleNextCompletion();
     }
 
-    /** Takes a request off the cores; {@link #scheduleNextCompletion} is to follow. */
+    /** Removes a request; the caller must then call {@link #scheduleNextCompletion}. */
     void remove(PendingRequest pending) {
         running.remove(pending);
     }
 
-    /** Drops everything that runs; {@link #scheduleNextCompletion} is to follow. */
+    /** Removes all requests; the caller must then call {@link #scheduleNextCompletion}. */
     void clear() {
         running.clear();
     }
 
-    /** Runs so many times slower than usual, at least 1. */
+    /** Divides the speed of the cores by a factor, at least 1. */
     void setSlowdown(double factor) {
         accountProgress();
         slowdown = Math.max(1, factor);
         scheduleNextCompletion();
     }
 
-    /** Stops all progress, or continues. */
+    /** Pauses or resumes all running requests. */
     void setPaused(boolean on) {
         accountProgress();
         paused = on;
         scheduleNextCompletion();
     }
 
-    /** The process started again: it runs at its usual speed. */
+    /** Restores the usual speed after a restart of the process. */
     void reset() {
         slowdown = 1;
         paused = false;
-        accountedUntil = time.now();
+        lastAccountedAt = time.now();
     }
 
     List<PendingRequest> completed() {
         return running.stream()
-                .filter(pending -> pending.remainingWork < COMPLETE_BELOW)
+                .filter(pending -> pending.remainingWork < COMPLETION_TOLERANCE_NANOS)
                 .toList();
     }
 
     /** Subtracts the work done since the last call. */
     void accountProgress() {
-        double done = paused ? 0 : (time.now() - accountedUntil) * ratePerRequest();
-        accountedUntil = time.now();
-        running.forEach(pending -> pending.remainingWork -= done);
+        double workDone = paused ? 0 : (time.now() - lastAccountedAt) * ratePerRequest();
+        lastAccountedAt = time.now();
+        running.forEach(pending -> pending.remainingWork -= workDone);
     }
 
-    /** Sets the timer anew for the request that completes first. */
+    /** Reschedules the timer for the request that completes first. */
     void scheduleNextCompletion() {
         if (nextCompletion != null) {
             nextCompletion.cancel();
             nextCompletion = null;
         }
         if (!running.isEmpty() && !paused) {
-            double least = running.stream()
+            double leastRemainingWork = running.stream()
                     .mapToDouble(pending -> pending.remainingWork)
                     .min()
                     .orElse(0);
-            long delayNanos = (long) Math.ceil(Math.max(0, least) / ratePerRequest());
+            long delayNanos = (long) Math.ceil(Math.max(0, leastRemainingWork) / ratePerRequest());
             nextCompletion = time.after(delayNanos, onCompletionDue);
         }
     }
 
-    /** Work done for each running request in a nanosecond. */
+    /** Returns the work done for each running request per nanosecond. */
     private double ratePerRequest() {
         double coreShare = Math.min(1, (double) kind.cores() / Math.max(1, running.size()));
         return coreShare * kind.speed() / slowdown;
--- a/emulator/src/main/java/pearladder/emulator/Timeline.java
+++ b/emulator/src/main/java/pearladder/emulator/Timeline.java
@@ -4,17 +4,17 @@
 public interface Timeline {
     /** A scheduled task. */
     interface ScheduledTask {
-        /** Cancels the task; does nothing where it has run or has been cancelled before. */
+        /** Cancels the task; does nothing if it has already run or been cancelled. */
         void cancel();
     }
 
-    /** The time in nanoseconds since an arbitrary origin. */
+    /** Returns the time in nanoseconds since an arbitrary origin. */
     long now();
 
-    /** Runs a task at a time in nanoseconds; where that has passed, as soon as possible, but not within this call. */
+    /** Schedules a task at a time in nanoseconds; if that has passed, it runs as soon as possible after this call. */
     ScheduledTask at(long nanos, Runnable task);
 
-    /** Runs a task after a delay in nanoseconds; a negative delay counts as none. */
+    /** Schedules a task after a delay in nanoseconds; a negative delay counts as 0. */
     default ScheduledTask after(long nanos, Runnable task) {
         return at(now() + Math.max(0, nanos), task);
     }
--- a/emulator/src/main/java/pearladder/emulator/VirtualTimeline.java
+++ b/emulator/src/main/java/pearladder/emulator/VirtualTimeline.java
@@ -45,12 +45,12 @@
         return task;
     }
 
-    /** How many tasks have run; cancelled ones don't count. */
+    /** Returns the number of tasks that have run, without cancelled ones. */
     public long executedTasks() {
         return executedTasks;
     }
 
-    /** Runs all tasks due up to and at a time in nanoseconds, which is then the present. */
+    /** Runs all tasks due up to and including a time in nanoseconds, and advances the clock to it. */
     public void advanceTo(long nanos) {
         while (!queue.isEmpty() && queue.peek().at <= nanos) {
             Task task = queue.poll();
--- a/emulator/src/main/java/pearladder/emulator/WarmUp.java
+++ b/emulator/src/main/java/pearladder/emulator/WarmUp.java
@@ -28,12 +28,12 @@
         startedAt = time.now();
     }
 
-    /** Forgets the work received so far, as the process has died. */
+    /** Clears the work received so far after a crash of the process. */
     void clearWindow() {
         window.clear();
     }
 
-    /** The share of its full capacity that the worker has now, up to 1. */
+    /** Returns the current capacity as a share of the worker's full capacity, up to 1. */
     double capacityShare() {
         if (!cold) {
             return 1;
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Counts work that arrives.
+     * Adds arriving work to the overload window.
      *
-     * @return the multiple of its present capacity that a cold worker was sent, where this is too much; otherwise empty
+     * @return the work in the window as a multiple of the current capacity if it overloads a cold worker; else empty
      */
     OptionalDouble recordWork(double workNanos) {
         if (capacityShare() >= 1) {
--- a/emulator/src/main/java/pearladder/emulator/WorkerEnvironment.java
+++ b/emulator/src/main/java/pearladder/emulator/WorkerEnvironment.java
@@ -4,11 +4,11 @@
 import java.util.function.Function;
 
 /**
- * What a worker shares with others.
+ * The environment that a worker shares with others.
  *
- * @param models the kind of a model by the model's name, or null where the model is unknown
- * @param idempotencyCache that of the worker's group
- * @param observations receives all that is observed at the worker
+ * @param models maps a model's name to its kind, or to null if the model is unknown
+ * @param idempotencyCache idempotency cache of the worker's group
+ * @param observations receives all observations at the worker
  */
 public record WorkerEnvironment(
         Timeline time,
--- a/emulator/src/main/java/pearladder/emulator/WorkerFactory.java
+++ b/emulator/src/main/java/pearladder/emulator/WorkerFactory.java
@@ -5,11 +5,10 @@
 import java.util.function.Consumer;
 
 /**
- * Creates the workers of a fleet, which share a model store and, by group, the idempotency keys that they have
- * seen.
+ * Creates the workers of a fleet, which share a model store and, within a group, the idempotency cache.
  */
 public final class WorkerFactory {
-    /** Seeds of different plans' workers differ by a multiple of this. */
+    /** Size of the range of worker seeds that each plan seed has. */
     private static final long SEEDS_PER_PLAN = 1000;
 
     private static final String SUCCESSOR_SUFFIX = "(~[0-9]+)?$";
@@ -21,7 +20,7 @@
     private final Map<String, IdempotencyCache> idempotencyCaches = new LinkedHashMap<>();
     private int created;
 
-    /** @param observations receives all that is observed at the workers */
+    /** @param observations receives all observations at the workers */
     public WorkerFactory(Timeline time, FleetPlan plan, ModelStore modelStore, Consumer<Observation> observations) {
         this.time = time;
         this.plan = plan;
@@ -29,7 +28,7 @@
         this.observations = observations;
     }
 
-    /** @param coldStart whether the worker has just started and is still to warm up */
+    /** @param coldStart whether the worker starts cold and has to warm up */
     public WorkerModel create(FleetPlan.PlannedWorker worker, boolean coldStart) {
         long seed = plan.seed() * SEEDS_PER_PLAN + created;
         created++;
@@ -49,7 +48,7 @@
                 group, name -> new IdempotencyCache(time, worker.kind().idempotencyWindowNanos()));
     }
 
-    /** The worker that takes another's place in a rolling deployment: the same but for its id, which is new. */
+    /** Plans the replacement of a worker in a rolling deployment: an equal worker with a new id. */
     public FleetPlan.PlannedWorker successorOf(FleetPlan.PlannedWorker worker) {
         String id = worker.id().replaceFirst(SUCCESSOR_SUFFIX, "~" + created);
         return new FleetPlan.PlannedWorker(id, worker.kind(), worker.zone(), worker.cell());
--- a/emulator/src/main/java/pearladder/emulator/WorkerKind.java
+++ b/emulator/src/main/java/pearladder/emulator/WorkerKind.java
@@ -1,25 +1,26 @@
 package pearladder.emulator;
 
 /**
- * The hardware and behaviour of a kind of worker. Spans are in nanoseconds.
+ * The hardware and behaviour of a kind of worker.
  *
- * @param name as in the endpoint list
- * @param cores how many requests run at full speed together
- * @param speed of a core, 1 for a standard one
- * @param memoryMb for model instances
- * @param concurrentLoads loads that run at a time; further ones wait
- * @param queueLimit requests that may wait for a slot or a load; beyond it requests are rejected
- * @param idleTimeoutNanos an instance that is idle for so long is unloaded
- * @param scalesUpByItself whether the worker loads another instance where all slots are taken
- * @param cachesImages whether fetched images stay on its disk and spare the next fetch
- * @param stopsOnCancel whether running work stops when the caller is gone
- * @param idempotencyWindowNanos for how long a duplicate with the same idempotency key is dropped
- * @param idempotencyScope the workers that drop each other's duplicates
- * @param coldCapacityShare share of its capacity right after a start, 0 to 1
- * @param warmUpNanos how long after a start it has its full capacity
- * @param overloadMultiple a cold worker that is sent more than this multiple of its present capacity
- * @param overloadWindowNanos over this window crashes and stays down
- * @param reportIntervalNanos how often its load report is measured anew
+ * @param name name of the kind in the endpoint list
+ * @param cores number of requests that run at full speed concurrently
+ * @param speed speed of a core, 1 for a standard core
+ * @param memoryMb memory for model instances
+ * @param concurrentLoads maximum number of concurrent loads; further ones are queued
+ * @param queueLimit maximum number of requests that wait for a slot or a load; further ones are rejected
+ * @param idleTimeoutNanos time after which an idle instance is unloaded
+ * @param autoscales whether the worker loads another instance when all slots are in use
+ * @param cachesImages whether fetched images are cached on disk, so that later loads need no fetch
+ * @param stopsOnCancel whether a running request stops when it is cancelled
+ * @param idempotencyWindowNanos time after the first run in which duplicates with the same idempotency key are dropped
+ * @param idempotencyScope the workers that share their idempotency keys
+ * @param coldCapacityShare share of the full capacity right after a start, 0 to 1
+ * @param warmUpNanos time from a start to the full capacity
+ * @param overloadMultiple a cold worker crashes and stays down if the work that arrives within the overload window
+ *     exceeds this multiple of its current capacity
+ * @param overloadWindowNanos length of the overload window
+ * @param reportIntervalNanos interval between measurements of the load report
  */
 public record WorkerKind(
         String name,
@@ -29,7 +30,7 @@
         int concurrentLoads,
         int queueLimit,
         long idleTimeoutNanos,
-        boolean scalesUpByItself,
+        boolean autoscales,
         boolean cachesImages,
         boolean stopsOnCancel,
         long idempotencyWindowNanos,
@@ -39,13 +40,13 @@
         double overloadMultiple,
         long overloadWindowNanos,
         long reportIntervalNanos) {
-    /** The workers that share their idempotency keys. Written as words in scenario files. */
+    /** The workers that share their idempotency keys. The constant names appear in scenario files. */
     public enum IdempotencyScope {
         /** All workers of the fleet. */
         ALL,
-        /** Those of the same zone. */
+        /** All workers of the same zone. */
         HALL,
-        /** Those of the same cell. */
+        /** All workers of the same cell. */
         CELL
     }
 }
--- a/emulator/src/main/java/pearladder/emulator/WorkerModel.java
+++ b/emulator/src/main/java/pearladder/emulator/WorkerModel.java
@@ -13,7 +13,7 @@
  * missing model is loaded, that is, fetched from the model store and then started. Faults are set from outside.
  */
 public final class WorkerModel {
-    /** One instance, as the worker's index lists it. */
+    /** An instance as listed in the worker's model index. */
     public record IndexEntry(String model, boolean ready) {}
 
     private final Timeline time;
@@ -32,7 +32,7 @@
     private double failureShare;
     private double lostLoadReplyShare;
 
-    /** A worker that is up and holds nothing. */
+    /** Creates a running worker without instances or requests. */
     public WorkerModel(WorkerSettings settings, WorkerEnvironment environment) {
         this.environment = environment;
         this.time = environment.time();
@@ -46,57 +46,57 @@
         this.reporter = new LoadReporter(time, kind.reportIntervalNanos(), random, this::measureLoad);
     }
 
-    /** Its name, unique in the fleet. */
+    /** Returns the id of the worker, unique in the fleet. */
     public String id() {
         return id;
     }
 
-    /** Whether its process runs. */
+    /** Returns whether the worker's process is running. */
     public boolean isUp() {
         return up;
     }
 
-    /** Whether it finishes what it holds and takes nothing new. */
+    /** Returns whether the worker finishes the requests that it holds and rejects new ones. */
     public boolean isDraining() {
         return draining;
     }
 
-    /** Takes nothing new from now on and finishes what it holds. */
+    /** Rejects new requests from now on and finishes those that the worker holds. */
     public void drain() {
         draining = true;
     }
 
-    /** Runs so many times slower than usual. */
+    /** Divides the speed of the cores by a factor, at least 1. */
     public void setSlowdown(double factor) {
         cores.setSlowdown(factor);
     }
 
-    /** Pauses all that runs on it, or continues. */
+    /** Pauses or resumes all running requests. */
     public void setPaused(boolean on) {
         cores.setPaused(on);
     }
 
-    /** Fails this share of its requests, 0 to 1, at once. */
+    /** Fails a share of the arriving requests, 0 to 1, immediately. */
     public void setFailureShare(double share) {
         failureShare = share;
     }
 
-    /** Loses this share of its replies to load requests, 0 to 1; the loads themselves happen. */
+    /** Drops a share of the replies to load requests, 0 to 1; the loads are still carried out. */
     public void setLostLoadReplyShare(double share) {
         lostLoadReplyShare = share;
     }
 
-    /** Leaks memory from now on, in MB a second; a restart frees it, and 0 only stops the leak. */
+    /** Leaks memory at a rate in MB per second. A rate of 0 stops the leak; only a restart frees the leaked memory. */
     public void setMemoryLeak(double mbPerSecond) {
         instances.leak().setRate(mbPerSecond);
     }
 
-    /** Its load reports say what was so long ago. */
+    /** Delays the content of the load reports by a time in nanoseconds. */
     public void setReportDelay(long nanos) {
         reporter.setDelay(nanos);
     }
 
-    /** The process dies: everything held is lost without a reply. */
+    /** Ends the process: all requests and instances are lost, and no request gets a reply. */
     public void crash() {
         up = false;
         cores.accountProgress();
@@ -109,7 +109,7 @@
         cores.scheduleNextCompletion();
     }
 
-    /** The process starts again, empty, cold and without faults. */
+    /** Restarts the process without instances, cold and without faults. */
     public void restart() {
         up = true;
         draining = false;
@@ -121,15 +121,15 @@
         reporter.reset();
     }
 
-    /** A new release of the models that match the pattern: their instances and images are void. */
+    /** Invalidates the instances and cached images of the models that match the pattern, as a new release does. */
     public void invalidateModels(String pattern) {
         instances.invalidate(pattern);
     }
 
     /**
-     * Takes a request. The reply comes later, or never where the worker dies first.
+     * Submits a request. The reply follows later, or never if the worker crashes first.
      *
-     * @return a handle on the request, or null where it was replied to at once or the worker is down
+     * @return a handle on the request, or null if it has been replied to already or the worker is down
      */
     public PendingRequest submit(WorkerRequest request, Consumer<WorkerReply> replyTo) {
         if (!up) {
@@ -138,13 +138,13 @@
         ModelKind model = environment.models().apply(request.model());
         observer.attempt(Observation.ARRIVED, request, request.idempotencyKey());
         double work = workOf(request, model);
-        if (crashesFrom(work)) {
+        if (crashIfOverloaded(work)) {
             return null;
         }
         if (model == null) {
             return reject(request, WorkerOutcome.ABSENT, replyTo);
         }
-        int concurrentRequests = heldFor(request.model());
+        int concurrentRequests = heldRequestsFor(request.model());
         if (failureShare > 0 && random.nextDouble() < failureShare) {
             observer.attempt(Observation.RAN, request, "failed");
             replyTo.accept(new WorkerReply(WorkerOutcome.ERROR, null, concurrentRequests, 0, report()));
@@ -161,12 +161,12 @@
         if (model == null) {
             return 0;
         }
-        long named = request.workNanos() > 0 ? request.workNanos() : model.workNanos();
-        return named * model.workMultiplier();
+        long requestedNanos = request.workNanos() > 0 ? request.workNanos() : model.workNanos();
+        return requestedNanos * model.workMultiplier();
     }
 
-    /** Crashes where the worker is cold and this is more work than it can bear. */
-    private boolean crashesFrom(double work) {
+    /** Crashes a cold worker if this work overloads it; returns whether it did. */
+    private boolean crashIfOverloaded(double work) {
         OptionalDouble overload = warmUp.recordWork(work);
         overload.ifPresent(multiple -> {
             observer.crashedFromOverload(multiple);
@@ -175,13 +175,13 @@
         return overload.isPresent();
     }
 
-    private int heldFor(String model) {
+    private int heldRequestsFor(String model) {
         return (int) Stream.concat(cores.running().stream(), queue.stream())
                 .filter(pending -> pending.request.model().equals(model))
                 .count();
     }
 
-    /** Runs the request, or queues it and loads its model where that is needed; null where it is rejected. */
+    /** Runs the request, or queues it and starts a load of its model if needed; returns null if it is rejected. */
     private PendingRequest admit(PendingRequest pending, ModelKind modelKind) {
         String model = pending.request.model();
         ModelInstance free = instances.leastBusyWithFreeSlot(model);
@@ -196,7 +196,7 @@
         boolean loading = instances.isLoading(model);
         boolean present = instances.hasCurrent(model);
         pending.instanceState = loading ? InstanceState.LOAD_JOINED : InstanceState.STOOD;
-        if (!present || kind.scalesUpByItself() && !loading) {
+        if (!present || kind.autoscales() && !loading) {
             ModelInstance started = instances.load(model, modelKind);
             if (started == null && !present) {
                 return reject(pending.request, WorkerOutcome.FULL, pending.replyTo);
@@ -215,7 +215,7 @@
         return null;
     }
 
-    /** Replies to a request whose idempotency key has been seen, without running it again. */
+    /** Replies, without running the request, to a duplicate whose idempotency key has already run. */
     private void replyToDuplicate(WorkerRequest request, int concurrentRequests, Consumer<WorkerReply> replyTo) {
         observer.attempt(Observation.DUPLICATE_DROPPED, request, request.idempotencyKey());
         replyTo.accept(new WorkerReply(WorkerOutcome.OK, InstanceState.STOOD, concurrentRequests, 0, report()));
@@ -224,7 +224,7 @@
     private void run(PendingRequest pending, ModelInstance instance) {
         WorkerRequest request = pending.request;
         if (environment.idempotencyCache().contains(request.idempotencyKey())) {
-            // It waited here while a duplicate of it ran elsewhere in the group.
+            // While this request was queued, a duplicate ran on another worker of the idempotency group.
             pending.ended = true;
             replyToDuplicate(request, pending.concurrentRequests, pending.replyTo);
             return;
@@ -271,7 +271,7 @@
         cores.scheduleNextCompletion();
     }
 
-    /** Gives free slots to queued requests, oldest first, and starts the loads that they still need. */
+    /** Assigns free slots to queued requests, oldest first, and starts loads for models without an instance. */
     private void serveQueue() {
         for (PendingRequest pending : List.copyOf(queue)) {
             String model = pending.request.model();
@@ -285,7 +285,7 @@
         }
     }
 
-    /** What the end of a load means for the queue. */
+    /** Updates the queue when a load ends. */
     private final class LoadListener implements InstancePool.Listener {
         @Override
         public void onModelUnavailable(String model) {
@@ -307,15 +307,15 @@
     }
 
     /**
-     * Takes a load request, to hold so many instances of a model; the reply comes once they are ready or it is
-     * clear that they will not be. Idle instances of the model are kept for their full time again.
+     * Requests that the worker hold {@code wantedInstances} instances of a model. The reply follows once they are
+     * ready or cannot become ready. The idle timeout of the model's idle instances starts again.
      */
-    public void loadInstances(String router, String model, int wanted, Consumer<WorkerReply> replyTo) {
+    public void loadInstances(String router, String model, int wantedInstances, Consumer<WorkerReply> replyTo) {
         if (!up) {
             return;
         }
         boolean replyLost = lostLoadReplyShare > 0 && random.nextDouble() < lostLoadReplyShare;
-        observer.loadRequested(router, model, wanted);
+        observer.loadRequested(router, model, wantedInstances);
         Consumer<WorkerOutcome> onEnded = outcome -> {
             WorkerReply reply = WorkerReply.ofLoad(outcome, readyInstances(model), report());
             if (!replyLost) {
@@ -328,7 +328,7 @@
         } else if (draining) {
             onEnded.accept(WorkerOutcome.FULL);
         } else {
-            new LoadRequest(instances, model, modelKind, wanted, onEnded).start();
+            new LoadRequest(instances, model, modelKind, wantedInstances, onEnded).start();
         }
     }
 
@@ -337,29 +337,29 @@
         instances.unloadIdle(model);
     }
 
-    /** How many instances of a model's current release are ready. */
+    /** Returns the number of ready instances of a model's current release. */
     public int readyInstances(String model) {
         return instances.readyCount(model);
     }
 
-    /** All instances, ready and loading. */
+    /** Lists all instances, ready and loading. */
     public List<IndexEntry> index() {
         return instances.instances().stream()
                 .map(instance -> new IndexEntry(instance.model, instance.ready))
                 .toList();
     }
 
-    /** Requests held: running and queued. */
+    /** Returns the number of running and queued requests. */
     public int heldRequests() {
         return cores.count() + queue.size();
     }
 
-    /** The memory that instances, ready and loading, and a leak take, in MB. */
+    /** Returns the memory in MB taken by instances, ready and loading, and by a leak. */
     public double usedMemoryMb() {
         return instances.usedMemoryMb();
     }
 
-    /** Its load report: measured seldom, with a little noise, and late where {@link #setReportDelay} says so. */
+    /** Returns the load report, measured at intervals with noise, and delayed by {@link #setReportDelay}. */
     public LoadReport report() {
         return reporter.report();
     }
--- a/emulator/src/main/java/pearladder/emulator/WorkerObserver.java
+++ b/emulator/src/main/java/pearladder/emulator/WorkerObserver.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** Records what happens at one worker. */
+/** Records the observations at a worker. */
 final class WorkerObserver {
     private final Timeline time;
     private final String workerId;
@@ -23,7 +23,7 @@
         record(Observation.LOAD_REQUESTED, router, model, "", instances);
     }
 
-    /** @param failure empty where the instance is ready */
+    /** @param failure reason of the failure; empty if the load succeeded */
     void loadEnded(String model, String failure, double fetchShare) {
         record(Observation.LOAD_ENDED, "", model, failure, fetchShare);
     }
@@ -38,7 +38,7 @@
         record(Observation.CRASHED_FROM_OVERLOAD, "", "", "", multipleOfCapacity);
     }
 
-    private void record(String event, String router, String model, String note, double figure) {
-        observations.accept(new Observation(time.now(), event, router, "", 0, workerId, model, note, figure));
+    private void record(String event, String router, String model, String note, double value) {
+        observations.accept(new Observation(time.now(), event, router, "", 0, workerId, model, note, value));
     }
 }
--- a/emulator/src/main/java/pearladder/emulator/WorkerOutcome.java
+++ b/emulator/src/main/java/pearladder/emulator/WorkerOutcome.java
@@ -1,13 +1,13 @@
 package pearladder.emulator;
 
-/** How a worker ends a request or a load request. The names appear in observation logs. */
+/** Outcome of a request or a load request at a worker. The names appear in observation logs. */
 public enum WorkerOutcome {
-    /** Done. */
+    /** The request succeeded. */
     OK,
-    /** The model failed, or the load did. */
+    /** The model or the load failed. */
     ERROR,
-    /** Rejected before it ran: no queue slot, no memory, or the worker drains. */
+    /** Rejected before it ran: the queue or memory is full, or the worker is draining. */
     FULL,
-    /** Rejected before it ran: the model is unknown here or could not be loaded. */
+    /** Rejected before it ran: the worker does not know the model or could not load it. */
     ABSENT
 }
--- a/emulator/src/main/java/pearladder/emulator/WorkerRequest.java
+++ b/emulator/src/main/java/pearladder/emulator/WorkerRequest.java
@@ -7,8 +7,8 @@
  * @param requestId the client's id, the same for all attempts
  * @param attempt number of this attempt, from 0
  * @param model name of the model, its version included
- * @param idempotencyKey empty where there is none
- * @param workNanos work on a core of speed 1; 0 for what is usual for the model
+ * @param idempotencyKey the idempotency key, or empty
+ * @param workNanos work on a core of speed 1; 0 for the default of the model
  */
 public record WorkerRequest(
         String router, String requestId, int attempt, String model, String idempotencyKey, long workNanos) {}
--- a/emulator/src/main/java/pearladder/emulator/WorkerSettings.java
+++ b/emulator/src/main/java/pearladder/emulator/WorkerSettings.java
@@ -1,9 +1,9 @@
 package pearladder.emulator;
 
 /**
- * What is fixed of one worker.
+ * The fixed settings of a worker.
  *
- * @param seed of its random draws
- * @param coldStart whether it has just started and is still to warm up
+ * @param seed seed of its random draws
+ * @param coldStart whether the worker starts cold and has to warm up
  */
 public record WorkerSettings(String id, WorkerKind kind, long seed, boolean coldStart) {}
