--- a/emulator/src/test/java/pearladder/emulator/FaultTypeTest.java
+++ b/emulator/src/test/java/pearladder/emulator/FaultTypeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class FaultTypeTest {
-    /** Words of scenario files and of the fault injection port; these must stay accepted. */
+    /** Fault names in scenario files and on the fault injection port; all must stay accepted. */
     private static final List<String> WORDS = List.of(
             "slow",
             "failing",
@@ -37,7 +37,7 @@
             "list-cut");
 
     @Test
-    void everyWordNamesItsOwnTypeAndOthersNone() {
+    void eachWordMapsToItsFaultTypeAndUnknownWordsToNone() {
         assertEquals(
                 WORDS, Arrays.stream(FaultType.values()).map(FaultType::word).toList());
         for (FaultType type : FaultType.values()) {
--- a/emulator/src/test/java/pearladder/emulator/ModelStoreTest.java
+++ b/emulator/src/test/java/pearladder/emulator/ModelStoreTest.java
@@ -16,7 +16,7 @@
     void fetchesShareTheCapacityAndAreRejectedBeyondTheLimit() {
         List<Long> endedAt = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            modelStore.fetch(100 * MS, ok -> endedAt.add(time.now()));
+            modelStore.fetch(100 * MS, fetched -> endedAt.add(time.now()));
         }
         List<Boolean> rejected = new ArrayList<>();
         modelStore.fetch(100 * MS, rejected::add);
@@ -26,7 +26,7 @@
         time.advanceTo(201 * MS);
         assertEquals(4, endedAt.size());
         modelStore.setSlowdown(5);
-        modelStore.fetch(100 * MS, ok -> endedAt.add(time.now()));
+        modelStore.fetch(100 * MS, fetched -> endedAt.add(time.now()));
         time.advanceTo(690 * MS);
         assertEquals(4, endedAt.size());
         time.advanceTo(702 * MS);
--- a/emulator/src/test/java/pearladder/emulator/WorkerModelFixture.java
+++ b/emulator/src/test/java/pearladder/emulator/WorkerModelFixture.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Workers of two cores and 1000 MB that share a model store and idempotency keys, and know the models "m*". */
+/** Creates workers with two cores and 1000 MB that share a model store and idempotency keys and serve models "m*". */
 final class WorkerModelFixture {
     private static final long MS = 1_000_000;
     private static final ModelKind MODEL = new ModelKind("m*", 400, 2, 600 * MS, 200 * MS, 20 * MS, 0, 1);
@@ -59,7 +59,7 @@
                         observations::add));
     }
 
-    /** A request of 20 ms of work. */
+    /** Creates a request with 20 ms of work. */
     static WorkerRequest request(String id, String model, String idempotencyKey) {
         return new WorkerRequest("r", id, 0, model, idempotencyKey, 20 * MS);
     }
--- a/emulator/src/test/java/pearladder/emulator/WorkerModelQueueingTest.java
+++ b/emulator/src/test/java/pearladder/emulator/WorkerModelQueueingTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The worker as an M/M/c queue, held against queueing theory: Poisson arrivals, exponential work, one slot a core. */
+/** Compares the worker with the theory of M/M/c queues: Poisson arrivals, exponential work, one slot per core. */
 class WorkerModelQueueingTest {
     private static final int CORES = 4;
     private static final double MEAN_WORK_SECONDS = 0.05;
@@ -33,7 +33,7 @@
         return -mean * Math.log(1 - random.nextDouble());
     }
 
-    /** Runs so many requests at an offered load of each core, 0 to 1; returns how long it took in seconds. */
+    /** Runs requests at an offered load per core, 0 to 1; returns the duration in seconds. */
     private double run(double load, int requests) {
         WorkerModel worker = worker();
         worker.loadInstances("r", "m", 1, reply -> {});
@@ -46,7 +46,7 @@
             time.advanceTo(time.now() + 1_000_000_000L);
         }
         count(0);
-        assertEquals(0, worker.heldRequests(), "what came in went out");
+        assertEquals(0, worker.heldRequests(), "all submitted requests have ended");
         return (time.now() - startedAt) / NANOS_PER_SECOND;
     }
 
@@ -109,7 +109,7 @@
         return values.stream().mapToDouble(value -> value).average().orElse(0);
     }
 
-    /** Erlang's C formula: the mean wait in an M/M/c queue, in seconds. */
+    /** Returns the mean wait in seconds in an M/M/c queue, by Erlang's C formula. */
     private static double erlangMeanWait(double load) {
         double offered = load * CORES;
         double term = 1;
@@ -123,14 +123,14 @@
     }
 
     @Test
-    void meanWaitIsThatOfErlangsFormula() {
+    void meanWaitMatchesErlangsFormula() {
         run(0.8, 60_000);
         double expected = erlangMeanWait(0.8);
         assertEquals(expected, mean(waitSeconds), 0.08 * expected, "mean wait in seconds");
     }
 
     @Test
-    void requestsInSystemAreThoseOfLittlesLaw() {
+    void meanNumberOfRequestsMatchesLittlesLaw() {
         double seconds = run(0.6, 20_000);
         double throughput = latencySeconds.size() / seconds;
         assertEquals(throughput * mean(latencySeconds), requestSeconds / seconds, 0.01 * requestSeconds / seconds);
--- a/emulator/src/test/java/pearladder/emulator/WorkerModelRandomizedTest.java
+++ b/emulator/src/test/java/pearladder/emulator/WorkerModelRandomizedTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Invariants of the worker under random sequences of requests, load requests and faults. */
+/** Checks invariants of the worker under random sequences of requests, load requests and faults. */
 class WorkerModelRandomizedTest {
     private static final long MS = 1_000_000;
     private static final int STEPS = 400;
@@ -17,11 +17,11 @@
     private final WorkerModelFixture fixture = new WorkerModelFixture(time);
 
     /**
-     * Whatever comes, in any order: memory is never exceeded, a request is replied to once, and none is held for
-     * ever.
+     * Under any sequence of steps, the memory limit is kept, each request is replied to at most once, and none is held
+     * forever.
      */
     @Test
-    void memoryIsKeptAndRepliesComeOnceUnderAnyFaults() {
+    void memoryLimitIsKeptAndRepliesAreNotRepeatedUnderFaults() {
         for (int seed = 0; seed < 60; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             WorkerModel worker = fixture.worker(6, random.nextBoolean(), random.nextBoolean());
@@ -31,27 +31,27 @@
                 time.advanceTo(time.now() + random.nextLong(120 * MS));
                 int number = step;
                 if (!injectFault(worker, pending, random)) {
-                    PendingRequest one = worker.submit(
+                    PendingRequest submitted = worker.submit(
                             WorkerModelFixture.request("s" + seed + "." + step, "m" + random.nextInt(4), ""),
                             reply -> replies[number]++);
-                    if (one != null) {
-                        pending.add(one);
+                    if (submitted != null) {
+                        pending.add(submitted);
                     }
                 }
-                assertTrue(worker.usedMemoryMb() <= 1000, "memory at seed " + seed + " step " + step);
+                assertTrue(worker.usedMemoryMb() <= 1000, "memory limit exceeded, seed " + seed + " step " + step);
                 assertTrue(replies[number] <= 1);
             }
             fixture.modelStore.setRejectingAll(false);
             worker.setSlowdown(1);
             time.advanceTo(time.now() + 60_000 * MS);
-            assertEquals(0, worker.heldRequests(), "nothing is held for ever, seed " + seed);
+            assertEquals(0, worker.heldRequests(), "requests still held, seed " + seed);
             for (int count : replies) {
-                assertTrue(count <= 1, "a reply came twice, seed " + seed);
+                assertTrue(count <= 1, "request replied to more than once, seed " + seed);
             }
         }
     }
 
-    /** Draws what happens in a step; false where it is an ordinary request. */
+    /** Draws and applies a fault or another event for a step; returns false if the step is an ordinary request. */
     private boolean injectFault(WorkerModel worker, List<PendingRequest> pending, SplittableRandom random) {
         switch (random.nextInt(12)) {
             case 0 -> worker.invalidateModels("m" + random.nextInt(4));
@@ -77,9 +77,9 @@
         return true;
     }
 
-    /** Models of many sizes on a worker with few resources: memory is never exceeded, and every request ends. */
+    /** With models of many sizes on a small worker, the memory limit is kept and every request ends. */
     @Test
-    void memoryIsKeptAndAllRequestsEndWithModelsOfManySizes() {
+    void memoryLimitIsKeptAndAllRequestsEndWithModelsOfManySizes() {
         for (int seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             VirtualTimeline clock = new VirtualTimeline();
--- a/emulator/src/test/java/pearladder/emulator/WorkerModelTest.java
+++ b/emulator/src/test/java/pearladder/emulator/WorkerModelTest.java
@@ -65,7 +65,8 @@
         time.advanceTo(10 * MS);
         assertEquals(WorkerOutcome.ABSENT, replies.get(0).outcome());
         assertEquals(InstanceState.LOAD_FAILED, replies.get(0).instanceState());
-        assertTrue(observations.stream().noneMatch(one -> one.event().equals(Observation.RAN)));
+        assertTrue(observations.stream()
+                .noneMatch(observation -> observation.event().equals(Observation.RAN)));
     }
 
     @Test
@@ -78,17 +79,18 @@
         worker.submit(request("c3", "m2", ""), replies::add);
         assertEquals(WorkerOutcome.FULL, replies.get(1).outcome());
         time.advanceTo(900 * MS);
-        assertEquals(WorkerOutcome.OK, replies.get(2).outcome(), "what it held it finishes");
+        assertEquals(
+                WorkerOutcome.OK, replies.get(2).outcome(), "a draining worker finishes the requests that it holds");
     }
 
     @Test
-    void idempotencyKeyRunsOnceInTheGroupEvenWhereBothAttemptsWaited() {
-        WorkerModel one = fixture.worker(10, true, false);
-        WorkerModel two = fixture.worker(10, true, false);
-        one.submit(request("c1", "m1", "k"), replies::add);
-        two.submit(request("c1", "m1", "k"), replies::add);
+    void idempotencyKeyRunsOnceInTheGroupEvenIfBothAttemptsWereQueued() {
+        WorkerModel firstWorker = fixture.worker(10, true, false);
+        WorkerModel secondWorker = fixture.worker(10, true, false);
+        firstWorker.submit(request("c1", "m1", "k"), replies::add);
+        secondWorker.submit(request("c1", "m1", "k"), replies::add);
         time.advanceTo(2000 * MS);
-        one.submit(request("c1", "m1", "k"), replies::add);
+        firstWorker.submit(request("c1", "m1", "k"), replies::add);
         time.advanceTo(3000 * MS);
         assertEquals(
                 3,
@@ -97,9 +99,9 @@
                         .count());
         assertEquals(1, observed(Observation.RAN));
         time.advanceTo(12_000 * MS);
-        one.submit(request("c1", "m1", "k"), replies::add);
+        firstWorker.submit(request("c1", "m1", "k"), replies::add);
         time.advanceTo(14_000 * MS);
-        assertEquals(2, observed(Observation.RAN), "it is remembered for 8 s");
+        assertEquals(2, observed(Observation.RAN), "the idempotency key is kept for 8 s");
     }
 
     @Test
@@ -117,7 +119,7 @@
     }
 
     @Test
-    void newReleaseVoidsInstancesAndImages() {
+    void newReleaseInvalidatesInstancesAndImages() {
         WorkerModel worker = fixture.worker(10, true, true);
         worker.loadInstances("r", "m1", 1, replies::add);
         time.advanceTo(900 * MS);
@@ -125,7 +127,7 @@
         assertEquals(0, worker.readyInstances("m1"));
         worker.submit(request("c1", "m1", ""), replies::add);
         time.advanceTo(1650 * MS);
-        assertEquals(1, replies.size(), "the image is void too, so the fetch comes again");
+        assertEquals(1, replies.size(), "the cached image is invalid too, so it is fetched again");
         time.advanceTo(1800 * MS);
         assertEquals(InstanceState.LOAD_BEGUN, replies.get(1).instanceState());
     }
