--- a/simulation/src/main/java/pearladder/simulation/ClientExchange.java
+++ b/simulation/src/main/java/pearladder/simulation/ClientExchange.java
@@ -8,7 +8,7 @@
 import pearladder.routing.api.TimeSpan;
 import pearladder.testbed.LoadGenerator;
 
-/** One client's try at a router, and where its response goes. */
+/** One attempt of a client at a router; delivers the response to the client. */
 final class ClientExchange implements ResponseHandler, LoadGenerator.RequestTransport.SentRequest {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -19,7 +19,7 @@
     private final LoadGenerator.ResponseListener client;
     private ActiveRequest accepted;
     private String version = "";
-    private boolean over;
+    private boolean ended;
 
     ClientExchange(
             SimulatedRouter router,
@@ -38,16 +38,16 @@
         return request;
     }
 
-    boolean isOver() {
-        return over;
+    boolean hasEnded() {
+        return ended;
     }
 
-    /** The work that the request asks for, in nanoseconds on a core of speed 1. */
+    /** Returns the work of the request, in nanoseconds on a core of speed 1. */
     long workNanos() {
         return request.scheduled().work();
     }
 
-    /** The version that the router has chosen, sent to the client with the response. */
+    /** Sets the version that the router has chosen; the response reports it to the client. */
     void setVersion(String chosenVersion) {
         version = chosenVersion;
     }
@@ -72,40 +72,40 @@
         respond(RequestOutcome.TERMINATED, RequestOutcome.TERMINATED.status, 0);
     }
 
-    /** @param outcome null where the response names none */
+    /** @param outcome outcome named in the response; null if it names none */
     void respond(RequestOutcome outcome, int status, long retryAfterNanos) {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
-        router.onExchangeOver(this);
+        ended = true;
+        router.onExchangeEnded(this);
         time.after(networkDelayNanos, () -> client.onAnswer(outcome, status, version, retryAfterNanos));
     }
 
-    /** The router is dead and refuses the connection. */
-    void refuse() {
+    /** Ends the exchange as a connection refused because the router is dead. */
+    void refuseConnection() {
         endWithoutResponse("unreachable");
     }
 
-    /** The router dies and the connection breaks. */
-    void breakOff() {
+    /** Ends the exchange when the router dies and the connection breaks. */
+    void onRouterDied() {
         endWithoutResponse("cut");
     }
 
     private void endWithoutResponse(String reason) {
-        over = true;
+        ended = true;
         time.after(networkDelayNanos, () -> client.onNoAnswer(reason));
     }
 
-    /** The client closes its connection; the router learns of it after the delay. */
+    /** Closes the client's connection; the router is notified after the network delay. */
     @Override
     public void cancel() {
         time.after(networkDelayNanos, () -> router.run(this::onClientDisconnected));
     }
 
     private void onClientDisconnected() {
-        over = true;
-        router.onExchangeOver(this);
+        ended = true;
+        router.onExchangeEnded(this);
         if (accepted != null) {
             router.onClientDisconnected(accepted);
         }
--- a/simulation/src/main/java/pearladder/simulation/DiscoveryWatch.java
+++ b/simulation/src/main/java/pearladder/simulation/DiscoveryWatch.java
@@ -5,16 +5,16 @@
 import pearladder.kserve.DiscoveryMessage;
 
 /**
- * A router's watch of the endpoint registry over the virtual network. It counts as broken where it is silent for
- * too long; the router decides when to connect again.
+ * A router's watch of the endpoint registry over the virtual network. A watch without messages for the silence timeout
+ * is treated as disconnected; the router decides when to reconnect.
  */
 final class DiscoveryWatch {
     /** Events that the watch reports to its router. */
     interface Listener {
-        /** A change or the whole list came; heartbeats are not reported. */
+        /** Handles a change or a full endpoint list; heartbeats are not reported. */
         void onMessage(DiscoveryMessage message);
 
-        /** The connection broke or fell silent. */
+        /** Handles a broken connection or an expired silence timeout. */
         void onDisconnected();
     }
 
@@ -27,10 +27,10 @@
     private final Listener listener;
     private EndpointRegistry.Watcher watcher;
     private Timeline.ScheduledTask silenceTimeout;
-    /** Version of the list that the router has. */
+    /** Version of the router's endpoint list. */
     private long version;
-    /** Counts connections, so that what comes late from an earlier one is ignored. */
-    private int connection;
+    /** Number of the current connection; late events of earlier connections are ignored. */
+    private int connectionNumber;
 
     private boolean connected;
 
@@ -49,14 +49,14 @@
         this.listener = listener;
     }
 
-    /** Connects; does nothing where it is connected or connecting. */
+    /** Connects unless connected or connecting already. */
     void connect() {
         if (connected) {
             return;
         }
         connected = true;
-        connection++;
-        int current = connection;
+        connectionNumber++;
+        int current = connectionNumber;
         restartSilenceTimeout(current);
         router.after(2 * networkDelayNanos, () -> {
             if (isCurrent(current)) {
@@ -66,7 +66,7 @@
     }
 
     private boolean isCurrent(int candidate) {
-        return candidate == connection && connected;
+        return candidate == connectionNumber && connected;
     }
 
     private void sendToRouter(int from, DiscoveryMessage message) {
@@ -91,9 +91,9 @@
         silenceTimeout = router.after(silenceTimeoutNanos, () -> onDisconnected(current));
     }
 
-    /** The discovery service resets the connection; the router learns of it after the delay. */
+    /** Resets the connection from the discovery service's side; the router is notified after the network delay. */
     void reset() {
-        int current = connection;
+        int current = connectionNumber;
         time.after(networkDelayNanos, () -> router.run(() -> onDisconnected(current)));
     }
 
@@ -106,7 +106,7 @@
         listener.onDisconnected();
     }
 
-    /** The router dies: the connection closes without notifying the listener. */
+    /** Closes the connection of a dead router without notifying the listener. */
     void closeSilently() {
         removeWatcher();
     }
--- a/simulation/src/main/java/pearladder/simulation/FaultScenarioGenerator.java
+++ b/simulation/src/main/java/pearladder/simulation/FaultScenarioGenerator.java
@@ -9,17 +9,17 @@
 import java.util.SplittableRandom;
 import pearladder.testbed.ScenarioPlan;
 
-/** Draws scenarios with random faults, and varies those that were drawn. The same seed gives the same scenarios. */
+/** Generates scenarios with random faults, and variations and reductions of them. Deterministic for a given seed. */
 final class FaultScenarioGenerator {
     private static final int MAX_FAULTS = 6;
-    private static final int SEEDS = 1_000_000;
+    private static final int SEED_BOUND = 1_000_000;
     private static final double NANOS_PER_SECOND = 1e9;
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final double SHORTEST_FAULT_SECONDS = 0.5;
-    /** A variation moves a fault by up to so much, earlier or later. */
+    private static final double MIN_FAULT_SECONDS = 0.5;
+    /** Maximum by which a variation moves a fault earlier or later. */
     private static final double MAX_SHIFT_SECONDS = 3;
-    /** Faults that last longer than this can be halved. */
-    private static final long SHORTEST_HALVED_MILLIS = 1000;
+    /** Reductions halve only faults that last longer than this. */
+    private static final long HALVING_THRESHOLD_MILLIS = 1000;
 
     private static final YAMLMapper YAML = new YAMLMapper();
 
@@ -34,7 +34,7 @@
         this.random = new SplittableRandom(plan.seed());
     }
 
-    /** A scenario with another seed and one or several random faults. */
+    /** Returns the base script with a random seed and one or more random faults. */
     ObjectNode draw() {
         ObjectNode script = base.deepCopy();
         drawSeed(script);
@@ -47,18 +47,18 @@
     }
 
     private void drawSeed(ObjectNode script) {
-        script.withObject("/day").put("seed", random.nextInt(SEEDS));
+        script.withObject("/day").put("seed", random.nextInt(SEED_BOUND));
     }
 
     private ObjectNode drawFault() {
         ScenarioPlan.FaultKind[] kinds = ScenarioPlan.FaultKind.values();
         ScenarioPlan.FaultKind kind = kinds[random.nextInt(kinds.length)];
         double scenarioSeconds = plan.duration() / NANOS_PER_SECOND;
-        double lastingSeconds = Math.min(scenarioSeconds / 2, drawLastingSeconds(kind, scenarioSeconds));
-        double atSeconds = random.nextDouble() * (scenarioSeconds - lastingSeconds);
+        double durationSeconds = Math.min(scenarioSeconds / 2, drawDurationSeconds(kind, scenarioSeconds));
+        double startSeconds = random.nextDouble() * (scenarioSeconds - durationSeconds);
         ObjectNode fault = YAML.createObjectNode()
-                .put("at", inMillis(atSeconds))
-                .put("lasting", inMillis(lastingSeconds))
+                .put("at", inMillis(startSeconds))
+                .put("lasting", inMillis(durationSeconds))
                 .put("what", kind.code())
                 .put("share", Math.round(5 + random.nextInt(60)) / 100.0)
                 .put("part", Math.round(20 + random.nextInt(80)) / 100.0)
@@ -69,11 +69,11 @@
         return fault;
     }
 
-    /** How long a fault lasts; 0 for those that are over at once. */
-    private double drawLastingSeconds(ScenarioPlan.FaultKind kind, double scenarioSeconds) {
+    /** Returns a random duration of a fault; 0 for instantaneous faults. */
+    private double drawDurationSeconds(ScenarioPlan.FaultKind kind, double scenarioSeconds) {
         return switch (kind) {
             case RELEASE, RESET, LIST_CUT -> 0;
-            default -> SHORTEST_FAULT_SECONDS + random.nextDouble() * scenarioSeconds / 4;
+            default -> MIN_FAULT_SECONDS + random.nextDouble() * scenarioSeconds / 4;
         };
     }
 
@@ -85,7 +85,7 @@
         return millis + " ms";
     }
 
-    /** The same faults at other moments, one of them another, or one more. */
+    /** Returns a variation: some faults are moved in time, and the seed changes or a fault is added or replaced. */
     ObjectNode vary(ObjectNode original) {
         ObjectNode script = original.deepCopy();
         ArrayNode faults = faultsOf(script);
@@ -105,7 +105,7 @@
         return script;
     }
 
-    /** Moves a fault in time, within the scenario. */
+    /** Moves a fault in time, keeping it within the scenario. */
     private void shift(ObjectNode fault, double seconds) {
         long latest = plan.duration() / NANOS_PER_MILLI - millis(fault, "lasting");
         long shifted = millis(fault, "at") + Math.round(seconds * 1000);
@@ -120,7 +120,7 @@
         return (ArrayNode) script.path("troubles");
     }
 
-    /** The scenarios that are one step smaller: first those with a fault less, then those with a shorter one. */
+    /** Returns the scenarios that are one step smaller: first those with one fault removed, then with one halved. */
     static List<ObjectNode> reductionsOf(ObjectNode original) {
         List<ObjectNode> reductions = new ArrayList<>();
         int count = faultsOf(original).size();
@@ -132,9 +132,9 @@
         for (int i = 0; i < count; i++) {
             ObjectNode script = original.deepCopy();
             ObjectNode fault = (ObjectNode) faultsOf(script).get(i);
-            long lastingMillis = millis(fault, "lasting");
-            if (lastingMillis > SHORTEST_HALVED_MILLIS) {
-                fault.put("lasting", inMillis(lastingMillis / 2));
+            long durationMillis = millis(fault, "lasting");
+            if (durationMillis > HALVING_THRESHOLD_MILLIS) {
+                fault.put("lasting", inMillis(durationMillis / 2));
                 reductions.add(script);
             }
         }
--- a/simulation/src/main/java/pearladder/simulation/FaultSearch.java
+++ b/simulation/src/main/java/pearladder/simulation/FaultSearch.java
@@ -19,33 +19,35 @@
 import pearladder.testbed.ScenarioPlan;
 
 /**
- * Searches for the seed and the faults, their times and their overlap, under which a router does worst or breaks an
- * invariant: draws scenarios, varies the worst of them, and reduces what it found as long as it stays as bad. The same
- * script gives the same result.
+ * Searches for the seed and the timing and overlap of faults that give the lowest credit or violate an invariant. It
+ * draws random scenarios, varies the worst of them, and reduces the result while it stays as bad. The search is
+ * deterministic: the same script gives the same result.
  */
 public final class FaultSearch {
     /**
-     * What was found.
+     * Worst scenario found.
      *
-     * @param script reduced as far as it could be
-     * @param brokenInvariant the invariant that breaks, in words; empty where none does and only the credit is low
-     * @param credit that the clients got, 0 to 1
-     * @param runs how many scenarios were run
+     * @param script the scenario's script, reduced as far as possible
+     * @param brokenInvariant description of the violated invariant; empty if only the credit is low
+     * @param credit credit that the clients got, 0 to 1
+     * @param runs number of scenarios that were run
      */
     public record Found(ObjectNode script, String brokenInvariant, double credit, int runs) {}
 
-    /** One script and what it came to. */
+    /** One script with the result of its run. */
     private record Trial(ObjectNode script, Simulation.Result outcome) {
-        /** The first invariant that broke, in words; empty where none did. */
+        /** Returns the description of the first violated invariant; empty if none was violated. */
         String brokenInvariant() {
             return outcome.verdict().violations().isEmpty()
                     ? ""
                     : outcome.verdict().violations().get(0).rule().description();
         }
 
-        /** The lower the worse; a broken invariant is worse than any credit. */
+        /** Returns the score of the run. Lower is worse; a violated invariant is worse than any credit. */
         double score() {
-            return outcome.verdict().violations().isEmpty() ? outcome.credit() : outcome.credit() - BREACH_PENALTY;
+            return outcome.verdict().violations().isEmpty()
+                    ? outcome.credit()
+                    : outcome.credit() - INVARIANT_VIOLATION_PENALTY;
         }
 
         boolean isAsBadAs(Trial other) {
@@ -57,9 +59,9 @@
 
     private static final int VARIATION_ROUNDS = 4;
     private static final int MIN_VARIATIONS = 4;
-    /** More than the largest difference of two credits. */
-    private static final double BREACH_PENALTY = 2;
-    /** By so much a reduced scenario's credit may be better than the original's. */
+    /** Greater than the largest possible difference of two credits. */
+    private static final double INVARIANT_VIOLATION_PENALTY = 2;
+    /** Maximum by which a reduced scenario's credit may exceed the original's. */
     private static final double CREDIT_TOLERANCE = 0.02;
 
     private static final YAMLMapper YAML = new YAMLMapper();
@@ -87,43 +89,43 @@
     }
 
     /**
-     * Searches.
+     * Searches for the worst scenario.
      *
-     * @param script whose fleet, traffic and rules are kept, and whose faults are replaced
-     * @param name of the script, for mistakes found in it
-     * @param tries scenarios that are drawn
-     * @param jobs runs at once; what is found does not depend on it
+     * @param script script whose fleet, traffic and rules are kept and whose faults are replaced
+     * @param name name of the script in error messages
+     * @param draws number of scenarios to draw
+     * @param jobs number of concurrent runs; the result does not depend on it
      * @param progress receives a line after each step
      */
     public static Found search(
             ObjectNode script,
             String name,
             Simulation.PolicyFactory policyFactory,
-            int tries,
+            int draws,
             int jobs,
             PrintStream progress)
             throws IOException, InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, jobs));
         try {
-            return new FaultSearch(script, name, policyFactory, pool, progress).search(tries);
+            return new FaultSearch(script, name, policyFactory, pool, progress).search(draws);
         } finally {
             pool.shutdownNow();
         }
     }
 
-    private Found search(int tries) throws IOException, InterruptedException {
-        Trial worst = worstOf(tries, generator::draw);
-        report("drawn " + tries, worst);
+    private Found search(int draws) throws IOException, InterruptedException {
+        Trial worst = worstOf(draws, generator::draw);
+        report("drawn " + draws, worst);
         for (int round = 1; round <= VARIATION_ROUNDS; round++) {
             ObjectNode original = worst.script();
-            Trial varied = worstOf(Math.max(MIN_VARIATIONS, tries / 4), () -> generator.vary(original));
+            Trial varied = worstOf(Math.max(MIN_VARIATIONS, draws / 4), () -> generator.vary(original));
             if (varied.score() < worst.score()) {
                 worst = varied;
-                report("shifted, round " + round, worst);
+                report("varied, round " + round, worst);
             }
         }
         Trial reduced = reduce(worst);
-        report("made small", reduced);
+        report("reduced", reduced);
         return new Found(
                 reduced.script(), reduced.brokenInvariant(), reduced.outcome().credit(), runs);
     }
@@ -139,14 +141,14 @@
     private void report(String step, Trial trial) {
         progress.println(String.format(
                 Locale.ROOT,
-                "%s: credit %.3f, %d troubles, %s",
+                "%s: credit %.3f, %d faults, %s",
                 step,
                 trial.outcome().credit(),
                 trial.script().path("troubles").size(),
-                trial.brokenInvariant().isEmpty() ? "rules kept" : "broken: " + trial.brokenInvariant()));
+                trial.brokenInvariant().isEmpty() ? "invariants kept" : "violated: " + trial.brokenInvariant()));
     }
 
-    /** Runs all scripts and waits for their end; a script whose run fails is kept in a file for inspection. */
+    /** Runs all scripts and waits for completion; writes a script whose run fails to a file for inspection. */
     private List<Trial> run(List<ObjectNode> scripts) throws IOException, InterruptedException {
         List<Future<Simulation.Result>> outcomes = new ArrayList<>();
         for (ObjectNode script : scripts) {
@@ -158,15 +160,15 @@
                 trials.add(new Trial(scripts.get(i), outcomes.get(i).get()));
                 runs++;
             } catch (ExecutionException e) {
-                Path kept = Files.createTempFile("pearladder-search", ".yaml");
-                YAML.writeValue(kept.toFile(), scripts.get(i));
-                throw new IOException("a rehearsal failed, its script is " + kept + ": " + e.getCause(), e.getCause());
+                Path scriptFile = Files.createTempFile("pearladder-search", ".yaml");
+                YAML.writeValue(scriptFile.toFile(), scripts.get(i));
+                throw new IOException("simulation of script " + scriptFile + " failed: " + e.getCause(), e.getCause());
             }
         }
         return trials;
     }
 
-    /** Reduces a scenario step by step as long as what remains is as bad. */
+    /** Reduces a scenario step by step while it stays as bad. */
     private Trial reduce(Trial found) throws IOException, InterruptedException {
         Trial reduced = found;
         while (true) {
--- a/simulation/src/main/java/pearladder/simulation/InMemoryRolloutJournal.java
+++ b/simulation/src/main/java/pearladder/simulation/InMemoryRolloutJournal.java
@@ -7,7 +7,7 @@
 import pearladder.rollout.RolloutTarget;
 import pearladder.router.kserve.RolloutManager;
 
-/** A rollout journal that outlives its router's process; writing to it succeeds at once. */
+/** Rollout journal that outlives its router's process; each write succeeds immediately. */
 final class InMemoryRolloutJournal implements RolloutManager.Journal {
     private final List<RolloutTarget> targets = new ArrayList<>();
     private final List<RolloutProgress> progress = new ArrayList<>();
--- a/simulation/src/main/java/pearladder/simulation/LoadRequestRecorder.java
+++ b/simulation/src/main/java/pearladder/simulation/LoadRequestRecorder.java
@@ -9,12 +9,12 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Stands for a router's event log on disk. Of all events it keeps the load requests only, which are all that the
- * router's next incarnation asks for.
+ * In-memory replacement of a router's event log on disk. Records only load requests, the only events that the
+ * router's next incarnation reads back.
  */
 final class LoadRequestRecorder implements EventListener {
-    /** After so long an event is safe on disk, as with real files. */
-    private static final long DURABLE_AFTER_NANOS = 25_000_000L;
+    /** Time until an event is durable, similar to real files. */
+    private static final long WRITE_LATENCY_NANOS = 25_000_000L;
 
     private final SimulatedRouter router;
     private final SimulatedHost host;
@@ -26,17 +26,17 @@
 
     @Override
     public void onRequestEnded(ActiveRequest request, String outcome, TimeSpan took) {
-        // The observations have it.
+        // Recorded as an observation.
     }
 
     @Override
     public void onAttemptEnded(ActiveAttempt attempt, Outcome outcome, WorkerResponse response, TimeSpan took) {
-        // The observations have it.
+        // Recorded as an observation.
     }
 
     @Override
     public void beforeLoadRequest(String worker, String function, int instances, Consumer<String> onDurable) {
-        router.after(DURABLE_AFTER_NANOS, () -> {
+        router.after(WRITE_LATENCY_NANOS, () -> {
             host.recordLoadRequest();
             onDurable.accept("");
         });
@@ -44,6 +44,6 @@
 
     @Override
     public void onLoadRequestEnded(String worker, String function, Outcome outcome, int instances, TimeSpan took) {
-        // The observations have it.
+        // Recorded as an observation.
     }
 }
--- a/simulation/src/main/java/pearladder/simulation/ObservationRecorder.java
+++ b/simulation/src/main/java/pearladder/simulation/ObservationRecorder.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 import pearladder.emulator.Observation;
 
-/** Keeps all observations of a run in memory, with a digest by which two runs can be compared. */
+/** Keeps all observations of a run in memory, and a digest of them for comparing runs. */
 final class ObservationRecorder implements Consumer<Observation> {
-    /** 16 of the 64 hexadecimal digits of SHA-256 are reported. */
+    /** Number of reported hexadecimal digits, of the 64 of SHA-256. */
     private static final int DIGEST_LENGTH = 16;
 
     private final List<Observation> observations = new ArrayList<>();
@@ -46,17 +46,17 @@
         return observations;
     }
 
-    /** Loads that ended. */
+    /** Returns the number of loads that ended. */
     long loads() {
         return loads;
     }
 
-    /** Entries of endpoint lists that routers were sent. */
+    /** Returns the number of endpoint-list entries sent to routers. */
     long endpointsSent() {
         return endpointsSent;
     }
 
-    /** The digest of all observations in order; to be asked for once, at the end. */
+    /** Returns the digest of all observations in order. May be called only once, at the end of the run. */
     String digest() {
         return HexFormat.of().formatHex(digest.digest()).substring(0, DIGEST_LENGTH);
     }
--- a/simulation/src/main/java/pearladder/simulation/RouterEnvironment.java
+++ b/simulation/src/main/java/pearladder/simulation/RouterEnvironment.java
@@ -4,9 +4,9 @@
 import pearladder.emulator.Timeline;
 
 /**
- * What surrounds a simulated router.
+ * Clock, fleet, network and log of a simulated router.
  *
- * @param networkDelayNanos of a message, each way
- * @param log receives what the router would write to its log
+ * @param networkDelayNanos one-way network delay of a message, in nanoseconds
+ * @param log receives the router's log lines
  */
 record RouterEnvironment(Timeline time, SimulatedFleet fleet, long networkDelayNanos, Consumer<String> log) {}
--- a/simulation/src/main/java/pearladder/simulation/RouterLogs.java
+++ b/simulation/src/main/java/pearladder/simulation/RouterLogs.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import pearladder.emulator.Timeline;
 
-/** What the routers would write to their logs, kept for the results: what operators would see, and when. */
+/** Collects the operator log lines of all routers, with their times, for the results. */
 final class RouterLogs {
     private static final int MAX_LINES = 400;
 
@@ -17,12 +17,12 @@
         this.time = time;
     }
 
-    /** Times count from here on; before the scenario starts they count from the virtual clock's zero. */
+    /** Sets the origin of the reported times; until it is set they are relative to the virtual clock's zero. */
     void setOrigin(long nanos) {
         origin = nanos;
     }
 
-    /** Adds a line with its time; beyond the limit it is dropped. */
+    /** Adds a line with its time, or drops it if the line limit is reached. */
     void add(String router, String text) {
         if (lines.size() < MAX_LINES) {
             double seconds = (time.now() - origin) / 1e9;
--- a/simulation/src/main/java/pearladder/simulation/SimulatedConnectionPool.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedConnectionPool.java
@@ -1,10 +1,10 @@
 package pearladder.simulation;
 
-/** One router's idle connections to one worker; only their number matters. */
+/** Idle connections of one router to one worker, kept only as a count. */
 final class SimulatedConnectionPool {
     private final SimulatedNetworkPath path;
     private int idle;
-    /** The path's generation in which the idle connections were made. */
+    /** Generation of the network path in which the idle connections were opened. */
     private int generation;
 
     SimulatedConnectionPool(SimulatedNetworkPath path) {
@@ -16,7 +16,7 @@
         return path;
     }
 
-    /** Takes an idle connection; false where there is none. */
+    /** Takes an idle connection and returns whether there was one. */
     boolean acquire() {
         if (generation != path.generation()) {
             generation = path.generation();
@@ -29,7 +29,7 @@
         return true;
     }
 
-    /** A connection is idle from now on. */
+    /** Returns a connection to the pool. */
     void release() {
         idle++;
     }
--- a/simulation/src/main/java/pearladder/simulation/SimulatedExchange.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedExchange.java
@@ -9,23 +9,23 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * One request of a router to a worker, from connecting to its end. It ends once: with a reply, a failure, a
- * timeout, or by being cancelled.
+ * One request of a router to a worker, from connecting to completion. It ends exactly once: with a reply, a failure,
+ * a timeout or a cancellation.
  */
 final class SimulatedExchange implements WorkerClient.PendingSend, SimulatedNetworkPath.Exchange {
-    /** What the request does once it has reached its worker. */
+    /** Operation that a request performs at its worker. */
     interface Operation {
-        /** Returns a handle on what the worker holds, or null where it holds nothing. */
+        /** Starts the operation and returns the request pending at the worker, or null if there is none. */
         PendingRequest start(Consumer<WorkerReply> replyTo);
     }
 
     /** Notified once of how the exchange ended. */
     interface Listener {
-        /** The reply is null where none came. */
+        /** Handles the end of the exchange; the reply is null if none arrived. */
         void onEnded(Outcome outcome, WorkerReply reply);
     }
 
-    private static final long SHORTEST_TIMEOUT_NANOS = 1_000_000;
+    private static final long MIN_TIMEOUT_NANOS = 1_000_000;
 
     private final SimulatedWorkerClient client;
     private final SimulatedRouter router;
@@ -36,7 +36,7 @@
     private Timeline.ScheduledTask timeout;
     private PendingRequest pending;
     private boolean sent;
-    private boolean over;
+    private boolean ended;
 
     SimulatedExchange(
             SimulatedWorkerClient client, SimulatedConnectionPool connections, Operation operation, Listener listener) {
@@ -50,7 +50,7 @@
 
     /** Connects and sends the request. */
     SimulatedExchange start(TimeSpan limit) {
-        long timeoutNanos = Math.max(SHORTEST_TIMEOUT_NANOS, limit.nanos());
+        long timeoutNanos = Math.max(MIN_TIMEOUT_NANOS, limit.nanos());
         timeout = router.after(timeoutNanos, () -> end(sent ? Outcome.TIMED_OUT : Outcome.UNREACHABLE, null));
         client.add(this);
         connect();
@@ -73,7 +73,7 @@
     }
 
     private void onConnected() {
-        if (over) {
+        if (ended) {
             connections.release();
         } else {
             send();
@@ -87,8 +87,8 @@
     }
 
     private void onArrivedAtWorker() {
-        if (over) {
-            // Given up while the way was cut: its connection was reset, and what had not left is dropped.
+        if (ended) {
+            // Ended during a network cut: its connection was reset, and undelivered data is dropped.
             return;
         }
         if (!path.worker.isUp()) {
@@ -105,7 +105,7 @@
     }
 
     private void onReply(WorkerReply reply) {
-        if (over) {
+        if (ended) {
             return;
         }
         if (path.isTruncatingResponses()) {
@@ -123,10 +123,10 @@
     }
 
     private void end(Outcome outcome, WorkerReply reply) {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         client.remove(this);
         timeout.cancel();
         path.unregister(this);
@@ -136,7 +136,7 @@
         listener.onEnded(outcome, reply);
     }
 
-    /** The connection closes, and the worker notices. */
+    /** Closes the connection; the worker then cancels the request. */
     private void closeConnection() {
         path.sendToWorker(() -> {
             if (pending != null && path.worker.isUp()) {
@@ -145,10 +145,10 @@
         });
     }
 
-    /** The router has died: the connection closes without notifying the listener. */
+    /** Closes the connection of a dead router without notifying the listener. */
     void closeSilently() {
         if (sent) {
-            over = true;
+            ended = true;
             path.unregister(this);
             closeConnection();
         }
--- a/simulation/src/main/java/pearladder/simulation/SimulatedFleet.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedFleet.java
@@ -17,16 +17,16 @@
 import pearladder.kserve.DiscoveryMessage.Entry;
 import pearladder.kserve.DiscoveryMessage.WorkerState;
 
-/** All workers of a plan with their model store and endpoint registry, on the virtual network. */
+/** All workers of a fleet plan with their model store and endpoint registry, on the virtual network. */
 final class SimulatedFleet {
-    private static final long HEARTBEAT_NANOS = 500_000_000L;
+    private static final long HEARTBEAT_INTERVAL_NANOS = 500_000_000L;
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** Addresses play no part in a simulation: routers find a worker's network path by its id. */
+    /** Placeholder address: routers look up a worker's network path by its id. */
     private static final String HOST = "virtual";
 
     private static final int PORT = 1;
-    /** The reported start time of a worker that was warm when the simulation began. */
-    private static final long STARTED_BEFORE = 0;
+    /** Reported start time of workers that are already warm at the start of the simulation. */
+    private static final long WARM_START_MILLIS = 0;
 
     private final Timeline time;
     private final long networkDelayNanos;
@@ -37,7 +37,7 @@
     private final Map<String, SimulatedNetworkPath> paths = new LinkedHashMap<>();
     private final Map<String, FleetPlan.PlannedWorker> plannedWorkers = new LinkedHashMap<>();
     private final Map<SimulatedNetworkPath, Long> pausedSince = new LinkedHashMap<>();
-    private Runnable onDiscoveryCut = () -> {};
+    private Runnable onDiscoveryReset = () -> {};
 
     SimulatedFleet(Timeline time, FleetPlan plan, long networkDelayNanos, Consumer<Observation> observations) {
         this.time = time;
@@ -47,13 +47,13 @@
         this.workerFactory = new WorkerFactory(time, plan, modelStore, observations);
         this.registry = new EndpointRegistry(time, 0, observations);
         plan.workers().forEach(worker -> add(worker, false));
-        // The first workers are listed without lag, in the tasks just scheduled.
+        // The tasks just scheduled list the initial workers without lag.
         time.after(1, () -> registry.setLag(plan.discoveryLagNanos()));
         scheduleHeartbeat();
     }
 
     private void scheduleHeartbeat() {
-        time.after(HEARTBEAT_NANOS, () -> {
+        time.after(HEARTBEAT_INTERVAL_NANOS, () -> {
             registry.sendHeartbeat();
             scheduleHeartbeat();
         });
@@ -67,16 +67,16 @@
         return paths.get(worker);
     }
 
-    /** What happens when every connection of the discovery service breaks. */
-    void onDiscoveryCut(Runnable action) {
-        onDiscoveryCut = action;
+    /** Sets the action that resets every connection of the discovery service. */
+    void onDiscoveryReset(Runnable action) {
+        onDiscoveryReset = action;
     }
 
     private void add(FleetPlan.PlannedWorker planned, boolean coldStart) {
         WorkerModel worker = workerFactory.create(planned, coldStart);
         paths.put(planned.id(), new SimulatedNetworkPath(time, networkDelayNanos, worker, planned.zone()));
         plannedWorkers.put(planned.id(), planned);
-        announce(planned.id(), WorkerState.IN_SERVICE, coldStart ? nowMillis() : STARTED_BEFORE);
+        announce(planned.id(), WorkerState.IN_SERVICE, coldStart ? nowMillis() : WARM_START_MILLIS);
     }
 
     private long nowMillis() {
@@ -89,7 +89,7 @@
                 new Entry(id, HOST, PORT, worker.zone(), worker.kind().name(), worker.cell(), state, startedMillis));
     }
 
-    /** Workers that take requests, of a zone or of all where the zone is empty. */
+    /** Returns the workers that accept requests in a zone, or in all zones if the zone is empty. */
     List<String> inService(String zone) {
         List<String> ids = new ArrayList<>();
         paths.forEach((id, path) -> {
@@ -101,7 +101,7 @@
         return ids;
     }
 
-    /** A worker's process dies; the registry learns of it after its lag. */
+    /** Kills a worker's process; the registry reports it after the discovery lag. */
     void kill(String id) {
         paths.get(id).crash();
         announce(id, WorkerState.GONE, 0);
@@ -120,7 +120,7 @@
         announce(id, WorkerState.DRAINING, 0);
     }
 
-    /** A step of a rolling deployment: the worker drains, goes, and a successor with a new id starts cold. */
+    /** Performs a step of a rolling deployment: drains and stops the worker, then cold-starts one with a new id. */
     private void replace(String id, long drainNanos) {
         drain(id);
         FleetPlan.PlannedWorker old = plannedWorkers.get(id);
@@ -142,19 +142,19 @@
     }
 
     /**
-     * Brings a fault, named by the same words as over sockets.
+     * Applies a fault command; commands have the same names as over sockets.
      *
-     * @throws IllegalArgumentException where there is no such fault
+     * @throws IllegalArgumentException if simulations do not support the fault
      */
     void apply(FaultCommand command) {
         command.workerFault()
                 .ifPresentOrElse(
-                        fault -> concerned(command).forEach(path -> fault.accept(path.worker)),
+                        fault -> targetPaths(command).forEach(path -> fault.accept(path.worker)),
                         () -> applyToServices(command));
     }
 
-    /** The paths to the command's workers, or to all where it names none. */
-    private List<SimulatedNetworkPath> concerned(FaultCommand command) {
+    /** Returns the paths to the command's workers, or to all workers if it names none. */
+    private List<SimulatedNetworkPath> targetPaths(FaultCommand command) {
         List<String> ids = command.workers().isEmpty() ? List.copyOf(paths.keySet()) : command.workers();
         return ids.stream().map(paths::get).filter(Objects::nonNull).toList();
     }
@@ -169,8 +169,8 @@
             case KILL -> command.workers().forEach(this::kill);
             case RESTART -> command.workers().forEach(this::restart);
             case REPLACE -> command.workers().forEach(id -> replace(id, command.nanos()));
-            case DISCOVERY_RESET -> onDiscoveryCut.run();
-            default -> concerned(command).forEach(pathFault(command));
+            case DISCOVERY_RESET -> onDiscoveryReset.run();
+            default -> targetPaths(command).forEach(pathFault(command));
         }
     }
 
@@ -186,7 +186,7 @@
             case NOT_ACCEPTING -> path -> path.setNotAccepting(on);
             case CONNECTION_RESET -> SimulatedNetworkPath::resetConnections;
             default -> throw new IllegalArgumentException(
-                    "not a fault of simulations: " + command.type().word());
+                    "fault not supported in simulations: " + command.type().word());
         };
     }
 }
--- a/simulation/src/main/java/pearladder/simulation/SimulatedHost.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedHost.java
@@ -10,11 +10,11 @@
 import pearladder.routing.api.TimeSpan;
 import pearladder.routing.state.PolicySnapshot;
 
-/** A router's machine: what is on its disk, and the router that runs on it now, if any. */
+/** Host of a router: its disk contents, which outlive the process, and the router that runs on it now, if any. */
 final class SimulatedHost {
-    /** Creates a router each time that its process starts. */
+    /** Creates a router for each start of its process. */
     interface RouterFactory {
-        /** The incarnation counts the starts on this host, from 0. */
+        /** Creates a router; the incarnation counts the starts on this host, from 0. */
         SimulatedRouter create(SimulatedHost host, long incarnation);
     }
 
@@ -33,7 +33,7 @@
     private long decisions;
     private long decisionNanos;
 
-    /** @param peerTargets the rollout targets that the other routers know */
+    /** @param peerTargets returns the rollout targets that the other routers know */
     SimulatedHost(
             String name,
             String zone,
@@ -47,7 +47,7 @@
         this.routerFactory = routerFactory;
     }
 
-    /** The router that runs now, or null. */
+    /** Returns the running router, or null if there is none. */
     SimulatedRouter router() {
         return router;
     }
@@ -60,12 +60,12 @@
 
     void kill() {
         if (router != null) {
-            router.die();
+            router.kill();
             router = null;
         }
     }
 
-    /** The rollout targets that the other routers know. */
+    /** Returns the rollout targets that the other routers know. */
     List<RolloutTarget> peerTargets() {
         return peerTargets.get();
     }
@@ -74,7 +74,7 @@
         return rolloutJournal;
     }
 
-    /** The last policy snapshot that was saved, or null. */
+    /** Returns the last saved policy snapshot, or null if there is none. */
     PolicySnapshot snapshot() {
         return snapshot;
     }
@@ -92,22 +92,22 @@
         loadRequestsAt.add(time.now());
     }
 
-    /** The ages of all load requests that any incarnation sent. */
+    /** Returns the ages of the load requests of all incarnations. */
     List<TimeSpan> loadRequestAges() {
         return loadRequestsAt.stream().map(at -> new TimeSpan(time.now() - at)).toList();
     }
 
-    /** The endpoint list that the last incarnation had, or null. */
+    /** Returns the endpoint list of the previous incarnation, or null if there is none. */
     DiscoveryMessage cachedEndpoints() {
         return cachedEndpoints.get();
     }
 
-    /** The list is only asked for by the next incarnation, and then as it was at the end of this one. */
+    /** Sets the source of the cached list. Only the next incarnation reads it, in its state at the end of this one. */
     void cacheEndpoints(Supplier<DiscoveryMessage> endpoints) {
         cachedEndpoints = endpoints;
     }
 
-    /** A routing decision took so long on this machine. */
+    /** Records a routing decision with its wall-clock time. */
     void recordDecision(long nanos) {
         decisions++;
         decisionNanos += nanos;
--- a/simulation/src/main/java/pearladder/simulation/SimulatedNetworkPath.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedNetworkPath.java
@@ -8,14 +8,14 @@
 import pearladder.emulator.WorkerModel;
 
 /**
- * The way between all routers and one worker on the virtual network. A message takes the delay each way. While a
- * direction is cut, messages wait, as their sender would go on retransmitting them, and are delivered in order once
- * it is restored.
+ * Network path between all routers and one worker on the virtual network. Each message takes the one-way delay. While
+ * a direction is cut, messages are held, since a real sender would retransmit them, and are delivered in order once
+ * the direction is restored.
  */
 final class SimulatedNetworkPath {
     /** An exchange on a connection to this worker. */
     interface Exchange {
-        /** Its connection was reset. */
+        /** Handles a reset of the exchange's connection. */
         void onReset();
     }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Whether an attempt to connect gets an answer at all, be it a refusal. */
+    /** Returns whether a connection attempt is answered, either accepted or refused. */
     boolean answersConnects() {
         return !cutToWorker && !cutToRouters && !notAccepting;
     }
@@ -79,36 +79,36 @@
         return truncating;
     }
 
-    /** Cuts or restores the two directions. */
+    /** Cuts or restores each of the two directions. */
     void setCut(boolean toWorker, boolean toRouters) {
         cutToWorker = toWorker;
         cutToRouters = toRouters;
         deliverHeld();
     }
 
-    /** Pauses the whole process, or continues it; its kernel goes on accepting connections. */
+    /** Pauses or resumes the worker's process; its kernel still accepts connections during a pause. */
     void setPaused(boolean on) {
         paused = on;
         worker.setPaused(on);
         deliverHeld();
     }
 
-    /** New connections wait for ever, while existing ones go on. */
+    /** Sets whether new connection attempts hang while existing connections keep working. */
     void setNotAccepting(boolean on) {
         notAccepting = on;
     }
 
-    /** The worker accepts and reads, and never responds. */
+    /** Sets whether the worker accepts connections and reads requests but never responds. */
     void setHanging(boolean on) {
         hanging = on;
     }
 
-    /** The worker breaks off its responses. */
+    /** Sets whether the worker truncates its responses. */
     void setTruncatingResponses(boolean on) {
         truncating = on;
     }
 
-    /** The worker responds for another model than it was asked for. */
+    /** Sets whether the worker's responses name a model other than the requested one. */
     void setMisnamingModels(boolean on) {
         misnaming = on;
     }
@@ -126,7 +126,7 @@
         }
     }
 
-    /** The exchange is notified of resets from now on. */
+    /** Registers an exchange to be notified of connection resets. */
     void register(Exchange exchange) {
         exchanges.add(exchange);
     }
@@ -135,12 +135,12 @@
         exchanges.remove(exchange);
     }
 
-    /** How often all connections were reset: an idle connection of an earlier generation no longer exists. */
+    /** Returns the number of resets so far; an idle connection of an earlier generation no longer exists. */
     int generation() {
         return generation;
     }
 
-    /** Resets every connection; the other side learns of it after the delay. */
+    /** Resets every connection; the routers are notified after the network delay. */
     void resetConnections() {
         generation++;
         List<Exchange> reset = List.copyOf(exchanges);
@@ -149,7 +149,7 @@
         reset.forEach(exchange -> time.after(delayNanos, exchange::onReset));
     }
 
-    /** The worker's process dies. */
+    /** Crashes the worker's process: process faults and pauses end, and all connections are reset. */
     void crash() {
         worker.crash();
         hanging = false;
--- a/simulation/src/main/java/pearladder/simulation/SimulatedResponse.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedResponse.java
@@ -6,7 +6,7 @@
 import pearladder.routing.api.Event;
 import pearladder.routing.api.Outcome;
 
-/** A worker's reply as a router reads it, with what the HTTP client would read from status and headers. */
+/** A worker's reply with the fields that the HTTP client would read from the status and headers. */
 record SimulatedResponse(
         Outcome outcome, Event.InstanceStatus instanceStatus, int concurrentRequests, Event.WorkerLoadReport loadReport)
         implements WorkerResponse {
@@ -37,7 +37,7 @@
                         report.held(), report.waiting(), report.busy(), report.loads(), report.pinned());
     }
 
-    /** The same response, read as an error: it names another model than was asked for. */
+    /** Returns this response as an error, for a response that names a model other than the requested one. */
     SimulatedResponse asError() {
         return new SimulatedResponse(Outcome.ERROR, instanceStatus, concurrentRequests, loadReport);
     }
--- a/simulation/src/main/java/pearladder/simulation/SimulatedRouter.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedRouter.java
@@ -26,7 +26,7 @@
 import pearladder.routing.api.TimeSpan;
 import pearladder.testbed.LoadGenerator;
 
-/** One router process from its start to its death: the router's own core on the virtual clock and network. */
+/** One router process from start to exit: the production router core on the virtual clock and network. */
 final class SimulatedRouter implements Timers, RouterMetrics {
     private static final long SNAPSHOT_INTERVAL_NANOS = 1_000_000_000L;
     private static final long PEER_SYNC_INTERVAL_NANOS = 1_000_000_000L;
@@ -46,8 +46,8 @@
     private final RolloutManager rollouts;
     private final DiscoveryWatch discovery;
     private final Set<ClientExchange> openExchanges = new LinkedHashSet<>();
-    /** What is to run once the process continues. */
-    private final ArrayDeque<Runnable> heldWhilePaused = new ArrayDeque<>();
+    /** Tasks that became due during a pause, in order; they run when the process resumes. */
+    private final ArrayDeque<Runnable> tasksHeldWhilePaused = new ArrayDeque<>();
 
     private boolean paused;
     private long clockOffsetNanos;
@@ -77,7 +77,9 @@
         this.requests.onPrewarmProgress(rollouts::onPrewarmProgress);
     }
 
-    /** Starts as a router does: the cached endpoints, the snapshot, the rollout journal, the peers, then discovery. */
+    /**
+     * Starts in the order of a production router: cached endpoints, snapshot, rollout journal, peers, then discovery.
+     */
     void start() {
         Event.EndpointsUpdated cached = endpoints.restore(host.cachedEndpoints());
         requests.dispatch(cached);
@@ -90,11 +92,11 @@
                     true,
                     cached,
                     now(),
-                    what -> log.accept("begins with what is believed " + what)));
+                    state -> log.accept("starting from restored state: " + state)));
             scheduleSnapshot();
         }
         rollouts.start();
-        learnFromPeers();
+        syncWithPeers();
         watchEndpoints();
         schedulePeerSync();
     }
@@ -108,21 +110,21 @@
 
     private void schedulePeerSync() {
         after(PEER_SYNC_INTERVAL_NANOS, () -> {
-            learnFromPeers();
+            syncWithPeers();
             schedulePeerSync();
         });
     }
 
-    private void learnFromPeers() {
+    private void syncWithPeers() {
         host.peerTargets().forEach(rollouts::onPeerTarget);
     }
 
-    /** The rollout targets that this router knows. */
+    /** Returns the rollout targets that this router knows. */
     List<RolloutTarget> rolloutTargets() {
         return rollouts.targets();
     }
 
-    /** An operator orders rollouts. */
+    /** Sets rollout targets, as an operator would. */
     void order(List<RolloutTarget> targets, Consumer<List<String>> onRefusals) {
         run(() -> rollouts.setTargets(targets, onRefusals));
     }
@@ -138,46 +140,46 @@
         return scheduled::cancel;
     }
 
-    /** Runs a task of this router after a delay, by the rules of {@link #run}. */
+    /** Runs a task of this router after a delay, by the rules of {@link #scriptFile}. */
     Timeline.ScheduledTask after(long nanos, Runnable task) {
         return time.after(nanos, () -> run(task));
     }
 
-    /** Runs a task of this router now; not where it is dead, and only once it continues where it is paused. */
+    /** Runs a task of this router now, or on resume if the router is paused. Drops it if the router is dead. */
     void run(Runnable task) {
         if (dead) {
             return;
         }
         if (paused) {
-            heldWhilePaused.add(task);
+            tasksHeldWhilePaused.add(task);
         } else {
             task.run();
         }
     }
 
-    /** Pauses the process, or continues it. */
+    /** Pauses or resumes the process. */
     void setPaused(boolean on) {
         paused = on;
-        while (!paused && !heldWhilePaused.isEmpty()) {
-            heldWhilePaused.poll().run();
+        while (!paused && !tasksHeldWhilePaused.isEmpty()) {
+            tasksHeldWhilePaused.poll().run();
         }
     }
 
-    /** The router's clock jumps ahead for good. */
+    /** Moves the router's clock forward permanently. */
     void jumpClock(long nanos) {
         clockOffsetNanos += nanos;
     }
 
-    /** Killed: its connections to clients and workers break, and no task of it runs any more. */
-    void die() {
+    /** Kills the process: its connections to clients and workers break, and none of its tasks runs afterwards. */
+    void kill() {
         dead = true;
         workerClient.closeAll();
-        List.copyOf(openExchanges).forEach(ClientExchange::breakOff);
+        List.copyOf(openExchanges).forEach(ClientExchange::onRouterDied);
         openExchanges.clear();
         discovery.closeSilently();
     }
 
-    /** A client sends a request, which arrives after the network's delay. */
+    /** Receives a client's request after the network delay. */
     ClientExchange receive(LoadGenerator.Request request, LoadGenerator.ResponseListener client) {
         ClientExchange exchange = new ClientExchange(this, time, networkDelayNanos, request, client);
         time.after(networkDelayNanos, () -> onArrived(exchange));
@@ -186,16 +188,16 @@
 
     private void onArrived(ClientExchange exchange) {
         if (dead) {
-            exchange.refuse();
+            exchange.refuseConnection();
             return;
         }
         openExchanges.add(exchange);
         run(() -> handle(exchange));
     }
 
-    /** Does with a request what the HTTP request handler does. */
+    /** Applies the checks of the HTTP request handler and accepts the request if they pass. */
     private void handle(ClientExchange exchange) {
-        if (exchange.isOver()) {
+        if (exchange.hasEnded()) {
             return;
         }
         LoadGenerator.Request request = exchange.request();
@@ -242,7 +244,7 @@
                 exchange));
     }
 
-    void onExchangeOver(ClientExchange exchange) {
+    void onExchangeEnded(ClientExchange exchange) {
         openExchanges.remove(exchange);
     }
 
@@ -250,19 +252,19 @@
         requests.clientDisconnected(request);
     }
 
-    /** Connects to the discovery service where this is not so already. */
+    /** Connects to the discovery service unless connected already. */
     void watchEndpoints() {
         if (!dead) {
             discovery.connect();
         }
     }
 
-    /** The discovery service resets its connections. */
+    /** Handles a connection reset by the discovery service. */
     void resetDiscovery() {
         discovery.reset();
     }
 
-    /** Discovery messages go to the policy, and the list to the host's disk. */
+    /** Passes discovery messages to the policy and caches the endpoint list on the host's disk. */
     private final class EndpointListener implements DiscoveryWatch.Listener {
         @Override
         public void onMessage(DiscoveryMessage message) {
@@ -278,12 +280,12 @@
 
     @Override
     public void onResponse(CompletionStatus status, long nanos) {
-        // The clients count responses.
+        // Counted at the clients.
     }
 
     @Override
     public void onAttemptEnded(Outcome outcome) {
-        // The observations have it.
+        // Recorded as an observation.
     }
 
     @Override
@@ -298,11 +300,11 @@
 
     @Override
     public void onClientDisconnected() {
-        // The observations have it.
+        // Recorded as an observation.
     }
 
     @Override
     public void onLoadRequest() {
-        // The observations have it.
+        // Recorded as an observation.
     }
 }
--- a/simulation/src/main/java/pearladder/simulation/SimulatedRouters.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedRouters.java
@@ -17,13 +17,13 @@
 import pearladder.routing.api.RoutingPolicy;
 import pearladder.testbed.ScenarioPlan;
 
-/** All routers of a scenario, each on a host of its own. */
+/** All routers of a scenario, each on its own host. */
 final class SimulatedRouters {
     private static final YAMLMapper YAML = new YAMLMapper();
-    /** Seeds of policies differ by scenario, router and incarnation. */
-    private static final long SEED_PER_SCENARIO = 1_000_003;
+    /** Together with the router's stride, makes policy seeds differ by scenario, router and incarnation. */
+    private static final long SCENARIO_SEED_STRIDE = 1_000_003;
 
-    private static final long SEED_PER_ROUTER = 1009;
+    private static final long ROUTER_SEED_STRIDE = 1009;
 
     private final ScenarioPlan plan;
     private final JsonNode script;
@@ -33,7 +33,7 @@
     private final RouterLogs logs;
     private final Map<String, SimulatedHost> hosts = new LinkedHashMap<>();
 
-    /** @param script whose "router" part each router's configuration is made from */
+    /** @param script script whose "router" section is the base of each router's configuration */
     SimulatedRouters(
             ScenarioPlan plan,
             JsonNode script,
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Sets up a host whose router is yet to be started.
+     * Adds a host without starting its router.
      *
-     * @param number of the router, from 0
+     * @param number number of the router, from 0
      */
     SimulatedHost addHost(int number) throws IOException {
         String name = "r" + (number + 1);
@@ -61,8 +61,8 @@
         RouterEnvironment environment =
                 new RouterEnvironment(time, fleet, plan.network().delay(), text -> logs.add(name, text));
         SimulatedHost host =
-                new SimulatedHost(name, zone, time, () -> targetsKnownBesides(name), (self, incarnation) -> {
-                    long seed = plan.seed() * SEED_PER_SCENARIO + number * SEED_PER_ROUTER + incarnation;
+                new SimulatedHost(name, zone, time, () -> targetsOfOtherRouters(name), (self, incarnation) -> {
+                    long seed = plan.seed() * SCENARIO_SEED_STRIDE + number * ROUTER_SEED_STRIDE + incarnation;
                     RoutingPolicy policy = policyFactory.create(seed, config.routingSettings());
                     return new SimulatedRouter(self, config, policy, environment);
                 });
@@ -70,7 +70,7 @@
         return host;
     }
 
-    /** A router's configuration file, checked as the router checks its own. */
+    /** Builds a router's configuration and validates it with the router's own parser. */
     private RouterConfig configOf(String name, String zone, int number) throws IOException {
         ObjectNode file = script.get("router").deepCopy();
         ObjectNode router = file.withObject("/router");
@@ -86,7 +86,7 @@
         return RouterConfigParser.read(YamlParser.read(name, YAML.writeValueAsString(file)));
     }
 
-    private List<RolloutTarget> targetsKnownBesides(String router) {
+    private List<RolloutTarget> targetsOfOtherRouters(String router) {
         List<RolloutTarget> targets = new ArrayList<>();
         for (SimulatedHost host : hosts.values()) {
             if (!host.name.equals(router) && host.router() != null) {
@@ -104,15 +104,15 @@
         return hosts.values();
     }
 
-    /** The names of the routers of a zone, or of all where the zone is empty. */
-    List<String> namesIn(String zone) {
+    /** Returns the names of the routers in a zone, or of all routers if the zone is empty. */
+    List<String> namesInZone(String zone) {
         return hosts.values().stream()
                 .filter(host -> zone.isEmpty() || host.zone.equals(zone))
                 .map(host -> host.name)
                 .toList();
     }
 
-    /** The discovery service resets the connections of all routers. */
+    /** Resets the connections of all routers to the discovery service. */
     void resetDiscovery() {
         for (SimulatedHost host : hosts.values()) {
             if (host.router() != null) {
@@ -121,12 +121,12 @@
         }
     }
 
-    /** Routing decisions of all routers. */
+    /** Returns the number of routing decisions by all routers. */
     long decisions() {
         return hosts.values().stream().mapToLong(SimulatedHost::decisions).sum();
     }
 
-    /** The time of this machine that all routing decisions took. */
+    /** Returns the wall-clock time of all routing decisions. */
     long decisionNanos() {
         return hosts.values().stream().mapToLong(SimulatedHost::decisionNanos).sum();
     }
--- a/simulation/src/main/java/pearladder/simulation/SimulatedWorkerClient.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedWorkerClient.java
@@ -18,8 +18,8 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * One router's client of the workers over the virtual network. It behaves as the HTTP client does with sockets:
- * connections are kept or made, and an outcome is only reported where it is certain.
+ * Worker client of one router on the virtual network. It behaves like the HTTP client on sockets: connections are
+ * reused or opened, and an outcome is reported only if it is certain.
  */
 final class SimulatedWorkerClient implements WorkerClient {
     private final SimulatedRouter router;
@@ -30,7 +30,7 @@
     private final Map<String, SimulatedConnectionPool> poolsByWorker = new HashMap<>();
     private final Set<SimulatedExchange> exchanges = new LinkedHashSet<>();
 
-    /** @param onOverloadCrash called with the id of a worker that a request made crash */
+    /** @param onOverloadCrash called with the id of a worker that crashed on a request */
     SimulatedWorkerClient(
             SimulatedRouter router,
             String routerName,
@@ -68,7 +68,7 @@
         exchanges.remove(exchange);
     }
 
-    /** A worker is listed, anew or with a change. */
+    /** Handles a new or changed entry of the endpoint list. */
     void onWorkerListed(String worker, SimulatedNetworkPath path) {
         SimulatedConnectionPool pool = poolsByWorker.get(worker);
         if (pool == null || pool.path() != path) {
@@ -76,12 +76,12 @@
         }
     }
 
-    /** A worker is no longer listed. */
+    /** Handles the removal of a worker from the endpoint list. */
     void onWorkerRemoved(String worker) {
         poolsByWorker.remove(worker);
     }
 
-    /** The router dies: all its connections close. */
+    /** Closes all connections when the router dies. */
     void closeAll() {
         List.copyOf(exchanges).forEach(SimulatedExchange::closeSilently);
     }
@@ -149,12 +149,12 @@
         start(
                 pool,
                 limit,
-                replyTo -> loadOrCount(model, function, instances, replyTo),
+                replyTo -> loadOrReportReady(model, function, instances, replyTo),
                 (outcome, reply) -> listener.onEnded(outcome, reply == null ? 0 : reply.readyInstances()));
     }
 
-    /** With 0 instances wanted it is only asked how many are ready. */
-    private PendingRequest loadOrCount(
+    /** Loads instances, or only reports the number of ready ones if 0 instances are requested. */
+    private PendingRequest loadOrReportReady(
             WorkerModel worker, String function, int instances, Consumer<WorkerReply> replyTo) {
         if (instances == 0) {
             replyTo.accept(WorkerReply.ofLoad(WorkerOutcome.OK, worker.readyInstances(function), worker.report()));
--- a/simulation/src/main/java/pearladder/simulation/Simulation.java
+++ b/simulation/src/main/java/pearladder/simulation/Simulation.java
@@ -29,33 +29,33 @@
 import pearladder.testbed.TraceWorkload;
 
 /**
- * One run of a scenario in virtual time, in one thread. The same script and seed give the same events on any machine.
+ * One single-threaded run of a scenario in virtual time. The same script and seed give the same events on any machine.
  */
 public final class Simulation {
     /** Creates the policy of a router. */
     public interface PolicyFactory {
-        /** The policy of a router with these settings; all its random draws come from the seed. */
+        /** Creates a policy with these settings that derives all its random draws from the seed. */
         RoutingPolicy create(long seed, RoutingSettings settings);
     }
 
     /**
-     * What a run came to.
+     * Result of a run.
      *
-     * @param digest of all observations in their order
+     * @param digest digest of all observations in their order
      * @param credit share of the attainable credit that the clients got, 0 to 1
-     * @param worstWindowCredit the credit of the worst window
-     * @param requests requests that clients sent
-     * @param loads loads that ended
+     * @param worstWindowCredit credit of the worst window
+     * @param requests number of requests that clients sent
+     * @param loads number of loads that ended
      * @param p50Millis median latency in milliseconds
      * @param p99Millis 99th percentile of the latency in milliseconds
-     * @param events tasks that the virtual clock ran
-     * @param decisions routing decisions of all routers
-     * @param decisionNanos time of this machine that the decisions took
-     * @param endpointsSent entries of endpoint lists that routers were sent
-     * @param wallSeconds time of this machine that the run took
-     * @param table lines for people to read
-     * @param verdict of the invariant checker
-     * @param faults expectations that were missed, and what went wrong in the run
+     * @param events number of tasks that the virtual clock ran
+     * @param decisions number of routing decisions by all routers
+     * @param decisionNanos wall-clock time of the routing decisions, in nanoseconds
+     * @param endpointsSent number of endpoint-list entries sent to routers
+     * @param wallSeconds wall-clock time of the run, in seconds
+     * @param table lines of the human-readable report
+     * @param verdict verdict of the invariant checker
+     * @param faults missed expectations and errors during the run
      */
     public record Result(
             String digest,
@@ -73,20 +73,20 @@
             List<String> table,
             InvariantChecker.Verdict verdict,
             List<String> faults) {
-        /** Whether every invariant and every expectation was kept. */
+        /** Returns whether no invariant was violated, no expectation was missed and no error occurred. */
         public boolean passed() {
             return verdict.violations().isEmpty() && faults.isEmpty();
         }
     }
 
-    /** Virtual time begins here, so that moments before the scenario's start exist. */
+    /** Initial virtual time; positive, so that times before the scenario's start can be represented. */
     private static final long EPOCH_NANOS = 1_000_000_000_000L;
 
     private static final long SECOND_NANOS = 1_000_000_000L;
-    /** From the routers' start to the scenario's, and from the last response to the end of the run. */
+    /** Time from the start of the routers to that of the scenario, and from the last response to the end of the run. */
     private static final long SETTLING_NANOS = SECOND_NANOS;
-    /** The clients must end at the latest so long after the scenario does. */
-    private static final long CLIENTS_END_WITHIN_NANOS = 60 * SECOND_NANOS;
+    /** Time after the scenario's end within which all clients must have finished. */
+    private static final long CLIENTS_END_TIMEOUT_NANOS = 60 * SECOND_NANOS;
 
     private static final long PROGRESS_INTERVAL_NANOS = 10 * SECOND_NANOS;
     private static final YAMLMapper YAML = new YAMLMapper();
@@ -98,7 +98,7 @@
     private final ObservationRecorder recorder = new ObservationRecorder();
     private final LoadStatistics statistics = new LoadStatistics();
     private final RouterLogs routerLogs = new RouterLogs(time);
-    private final RolloutScript releases = new RolloutScript(null);
+    private final RolloutScript rolloutScript = new RolloutScript(null);
     private final List<String> faults = new ArrayList<>();
     private final SimulatedFleet fleet;
     private final SimulatedRouters routers;
@@ -129,16 +129,16 @@
                 loadBalancer,
                 statistics,
                 recorder);
-        fleet.onDiscoveryCut(routers::resetDiscovery);
+        fleet.onDiscoveryReset(routers::resetDiscovery);
     }
 
     /**
      * Runs a scenario.
      *
      * @param script the scenario's script as YAML
-     * @param name of the script, for mistakes found in it
-     * @param out folder for results, or null for none
-     * @param progress receives lines of progress; null for none
+     * @param name name of the script in error messages
+     * @param out folder for the results; null writes none
+     * @param progress receives progress lines; null prints none
      */
     public static Result run(JsonNode script, String name, PolicyFactory policyFactory, Path out, PrintStream progress)
             throws IOException {
@@ -146,9 +146,9 @@
     }
 
     /**
-     * Runs a scenario with a trace's requests in place of the script's traffic.
+     * Runs a scenario, optionally with the requests of a trace instead of the script's traffic.
      *
-     * @param trace null for the script's traffic
+     * @param trace replay settings of the trace; null uses the script's traffic
      */
     public static Result run(
             JsonNode script,
@@ -173,10 +173,10 @@
         startedAt = time.now() + SETTLING_NANOS;
         routerLogs.setOrigin(startedAt);
         time.at(startedAt, () -> clients.start(startedAt, () -> clientsEnded = true));
-        FaultInjector faultInjector = new FaultInjector(plan, new World());
+        FaultInjector faultInjector = new FaultInjector(plan, new RouterAndFleetFaults());
         time.at(startedAt, () -> injectFaults(faultInjector));
         runClients(wallStart);
-        // What comes too late after the last response is to be seen as well.
+        // Observe events that arrive late, after the last response.
         time.advanceTo(time.now() + SETTLING_NANOS);
         return new SimulationReport(
                         plan,
@@ -202,7 +202,7 @@
     }
 
     private void runClients(long wallStart) {
-        long latestEnd = trace != null ? Long.MAX_VALUE : startedAt + plan.duration() + CLIENTS_END_WITHIN_NANOS;
+        long latestEnd = trace != null ? Long.MAX_VALUE : startedAt + plan.duration() + CLIENTS_END_TIMEOUT_NANOS;
         for (long at = startedAt; !clientsEnded && at < latestEnd; at += SECOND_NANOS) {
             time.advanceTo(at);
             if (progress != null && (at - startedAt) % PROGRESS_INTERVAL_NANOS == 0 && at > startedAt) {
@@ -217,7 +217,7 @@
     private void reportProgress(long at, long wallStart) {
         progress.println(String.format(
                 Locale.ROOT,
-                "  %4.0f s: %d calls ended, credit %.3f; %d events, %.1f s of this machine",
+                "  %4.0f s: %d requests ended, credit %.3f; %d events, %.1f s wall-clock time",
                 (at - startedAt) / 1e9,
                 statistics.requests(),
                 statistics.credit(),
@@ -246,8 +246,8 @@
         return router.receive(request, client);
     }
 
-    /** What the scenario's faults act on. */
-    private final class World implements FaultInjector.FaultTarget {
+    /** Injects the scenario's faults into the simulated routers, workers and clients. */
+    private final class RouterAndFleetFaults implements FaultInjector.FaultTarget {
         private final Map<String, Long> pausedSince = new HashMap<>();
 
         @Override
@@ -257,14 +257,14 @@
 
         @Override
         public List<String> routers(String zone) {
-            return routers.namesIn(zone);
+            return routers.namesInZone(zone);
         }
 
         @Override
-        public void commandWorkers(String what, List<String> workers, String model, double figure) {
-            FaultType type =
-                    FaultType.of(what).orElseThrow(() -> new IllegalArgumentException("unknown fault " + what));
-            fleet.apply(new FaultCommand(type, workers, model, figure));
+        public void commandWorkers(String faultName, List<String> workers, String model, double value) {
+            FaultType type = FaultType.of(faultName)
+                    .orElseThrow(() -> new IllegalArgumentException("unknown fault " + faultName));
+            fleet.apply(new FaultCommand(type, workers, model, value));
         }
 
         @Override
@@ -287,16 +287,16 @@
         }
 
         @Override
-        public void injectIntoRouters(ScenarioPlan.FaultKind what, List<String> names, double figure) {
+        public void injectIntoRouters(ScenarioPlan.FaultKind kind, List<String> names, double value) {
             for (String name : names) {
                 SimulatedRouter router = routers.host(name).router();
                 if (router == null) {
                     continue;
                 }
-                if (what == ScenarioPlan.FaultKind.ROUTERS_PAUSED) {
-                    setPaused(name, router, figure > 0);
-                } else if (figure > 0) {
-                    router.jumpClock(Math.round(figure * SECOND_NANOS));
+                if (kind == ScenarioPlan.FaultKind.ROUTERS_PAUSED) {
+                    setPaused(name, router, value > 0);
+                } else if (value > 0) {
+                    router.jumpClock(Math.round(value * SECOND_NANOS));
                 }
             }
         }
@@ -320,7 +320,7 @@
 
         @Override
         public void giveRolloutOrder(RolloutScript.Order order) {
-            List<RolloutTarget> targets = releases.nextTargets(order);
+            List<RolloutTarget> targets = rolloutScript.nextTargets(order);
             for (SimulatedHost host : routers.hosts()) {
                 if (host.router() != null) {
                     host.router().order(targets, refusals -> addRefusal(host.name, refusals));
@@ -336,11 +336,11 @@
         }
 
         @Override
-        public void report(String what) {
-            recorder.accept(new Observation(time.now(), Observation.FAULT_INJECTED, "", "", 0, "", "", what, 0));
+        public void report(String description) {
+            recorder.accept(new Observation(time.now(), Observation.FAULT_INJECTED, "", "", 0, "", "", description, 0));
             if (progress != null) {
                 double seconds = (time.now() - startedAt) / 1e9;
-                progress.println(String.format(Locale.ROOT, "  %4.0f s: %s", seconds, what));
+                progress.println(String.format(Locale.ROOT, "  %4.0f s: %s", seconds, description));
             }
         }
     }
--- a/simulation/src/main/java/pearladder/simulation/SimulationReport.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulationReport.java
@@ -14,14 +14,14 @@
 import pearladder.testbed.TraceWorkload;
 
 /**
- * Judges a run that has ended and writes its results.
+ * Evaluates a finished run and writes its results.
  *
- * @param trace null where the traffic was the scenario's own
+ * @param trace the replayed trace; null if the run used the scenario's own traffic
  * @param startedAt virtual time of the scenario's start
  * @param endedAt virtual time of the run's end
- * @param events tasks that the virtual clock ran
- * @param wallSeconds time of this machine that the run took
- * @param faults what went wrong in the run; what is found here is added
+ * @param events number of tasks that the virtual clock ran
+ * @param wallSeconds wall-clock time of the run, in seconds
+ * @param faults errors during the run; missed expectations and trace errors are added
  */
 record SimulationReport(
         ScenarioPlan plan,
@@ -38,7 +38,7 @@
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double NANOS_PER_MICRO = 1e3;
 
-    /** @param folder for the results, or null where none are to be written */
+    /** @param folder folder for the results; null writes none */
     Simulation.Result write(Path folder) throws IOException {
         ScenarioSummary summary = new ScenarioSummary(plan, statistics, recorder.observations(), startedAt);
         faults.addAll(plan.expected().missedRequirements(statistics));
@@ -48,7 +48,7 @@
             Files.createDirectories(folder);
             ObjectNode results = summary.results(table, faults);
             addRouterLogs(results);
-            addGrowth(results);
+            addScalingFigures(results);
             ScenarioSummary.write(folder, table, results);
         }
         return outcome(summary.verdict(), digest, table);
@@ -65,7 +65,7 @@
         lines.add("");
         lines.add(String.format(
                 Locale.ROOT,
-                "rehearsed with %d engines and %d routers: %d calls in %d tries, %d loads, digest %s",
+                "simulated %d workers and %d routers: %d requests in %d attempts, %d loads, digest %s",
                 plan.fleet().workers().size(),
                 plan.routers(),
                 statistics.requests(),
@@ -81,20 +81,20 @@
         routerLogs.lines().forEach(lines::add);
     }
 
-    /** The figures that show what grows with the size of the fleet. */
-    private void addGrowth(ObjectNode results) {
+    /** Adds the figures that show how costs scale with the size of the fleet. */
+    private void addScalingFigures(ObjectNode results) {
         double decisionNanos = routers.decisionNanos();
         results.putObject("growth")
                 .put("loads_per_1000", 1000.0 * recorder.loads() / Math.max(1, statistics.requests()))
                 .put("decision_us", decisionNanos / NANOS_PER_MICRO / Math.max(1, routers.decisions()))
-                .put("decided_share", decisionNanos / NANOS_PER_SECOND / plan.routers() / seconds())
-                .put("told_per_second", recorder.endpointsSent() / (double) plan.routers() / seconds())
+                .put("decided_share", decisionNanos / NANOS_PER_SECOND / plan.routers() / durationSeconds())
+                .put("told_per_second", recorder.endpointsSent() / (double) plan.routers() / durationSeconds())
                 .put("events", events)
                 .put("wall_s", wallSeconds)
-                .put("lasting_s", seconds());
+                .put("lasting_s", durationSeconds());
     }
 
-    private double seconds() {
+    private double durationSeconds() {
         return (endedAt - startedAt) / NANOS_PER_SECOND;
     }
 
--- a/simulation/src/test/java/pearladder/simulation/FaultSearchTest.java
+++ b/simulation/src/test/java/pearladder/simulation/FaultSearchTest.java
@@ -18,11 +18,15 @@
         script.remove("releases");
         script.remove("troubles");
         script.withObject("/day").put("lasting", "8 s");
-        PrintStream quiet = new PrintStream(new ByteArrayOutputStream(), false, StandardCharsets.UTF_8);
-        FaultSearch.Found one = FaultSearch.search(script, "small", StickyFirstFitPolicy::new, 6, 1, quiet);
-        FaultSearch.Found more = FaultSearch.search(script, "small", StickyFirstFitPolicy::new, 6, 4, quiet);
-        assertEquals(one.script(), more.script());
-        assertEquals(one.credit(), more.credit());
-        assertTrue(one.credit() <= SmallScenario.run(script).credit(), "faults earn nothing: " + one.credit());
+        PrintStream discardedProgress = new PrintStream(new ByteArrayOutputStream(), false, StandardCharsets.UTF_8);
+        FaultSearch.Found singleJob =
+                FaultSearch.search(script, "small", StickyFirstFitPolicy::new, 6, 1, discardedProgress);
+        FaultSearch.Found fourJobs =
+                FaultSearch.search(script, "small", StickyFirstFitPolicy::new, 6, 4, discardedProgress);
+        assertEquals(singleJob.script(), fourJobs.script());
+        assertEquals(singleJob.credit(), fourJobs.credit());
+        assertTrue(
+                singleJob.credit() <= SmallScenario.run(script).credit(),
+                "credit with faults exceeds credit without: " + singleJob.credit());
     }
 }
--- a/simulation/src/test/java/pearladder/simulation/SimulationTest.java
+++ b/simulation/src/test/java/pearladder/simulation/SimulationTest.java
@@ -19,13 +19,13 @@
 class SimulationTest {
     @Test
     void sameSeedGivesSameEventsAndAnotherSeedOthers() throws IOException {
-        Simulation.Result one = SmallScenario.run(SmallScenario.script());
-        Simulation.Result again = SmallScenario.run(SmallScenario.script());
-        assertEquals(one.digest(), again.digest());
-        assertEquals(one.events(), again.events());
-        ObjectNode other = SmallScenario.script();
-        other.withObject("/day").put("seed", 10);
-        assertNotEquals(one.digest(), SmallScenario.run(other).digest());
+        Simulation.Result first = SmallScenario.run(SmallScenario.script());
+        Simulation.Result repeated = SmallScenario.run(SmallScenario.script());
+        assertEquals(first.digest(), repeated.digest());
+        assertEquals(first.events(), repeated.events());
+        ObjectNode otherSeed = SmallScenario.script();
+        otherSeed.withObject("/day").put("seed", 10);
+        assertNotEquals(first.digest(), SmallScenario.run(otherSeed).digest());
     }
 
     @Test
@@ -33,12 +33,14 @@
         Simulation.Result outcome = SmallScenario.run(SmallScenario.script());
         assertEquals(List.of(), outcome.verdict().violations());
         assertEquals(List.of(), outcome.faults());
-        for (InvariantChecker.Invariant rule : InvariantChecker.Invariant.values()) {
-            assertTrue(outcome.verdict().checkedCounts().get(rule) > 0, rule + " was never looked at");
+        for (InvariantChecker.Invariant invariant : InvariantChecker.Invariant.values()) {
+            assertTrue(outcome.verdict().checkedCounts().get(invariant) > 0, invariant + " was never checked");
         }
         assertTrue(outcome.requests() > 1200 && outcome.credit() > 0.5, outcome.requests() + " " + outcome.credit());
-        Simulation.Result random = Simulation.run(SmallScenario.script(), "small", RandomChoice::new, null, null);
-        assertTrue(random.credit() < outcome.credit(), "the policy matters here: " + random.credit());
+        Simulation.Result randomChoice = Simulation.run(SmallScenario.script(), "small", RandomChoice::new, null, null);
+        assertTrue(
+                randomChoice.credit() < outcome.credit(),
+                "random choice must get less credit than the policy: " + randomChoice.credit());
     }
 
     @Test
@@ -62,7 +64,7 @@
         }
     }
 
-    /** Regression test: an attempt cancelled during a cut reached its worker when the cut was over. */
+    /** Regression test: an attempt cancelled during a network cut reached its worker after the cut. */
     @Test
     void attemptCancelledDuringACutNeverArrives() throws IOException {
         ObjectNode script = SmallScenario.script();
--- a/simulation/src/test/java/pearladder/simulation/SmallScenario.java
+++ b/simulation/src/test/java/pearladder/simulation/SmallScenario.java
@@ -45,7 +45,7 @@
 
     private SmallScenario() {}
 
-    /** A copy of the script that the caller may change. */
+    /** Returns a new copy of the script, which the caller may modify. */
     static ObjectNode script() throws IOException {
         return (ObjectNode) new YAMLMapper().readTree(SCRIPT);
     }
