--- a/testbed/src/main/java/pearladder/testbed/Benchmark.java
+++ b/testbed/src/main/java/pearladder/testbed/Benchmark.java
@@ -20,9 +20,9 @@
 import pearladder.kserve.Headers;
 
 /**
- * Measures what a router adds to a request: the same load straight to workers that answer at once, through a bare
- * pass-through and through the router, in turns within one run. The clients are closed-loop, so this measures cost, not
- * queues.
+ * Measures the overhead that a router adds to a request: the same load is sent directly to workers that answer at once,
+ * through a plain pass-through proxy, and through the router, alternating within one run. The clients are closed-loop,
+ * so this measures processing cost and no queueing.
  */
 public final class Benchmark {
     private static final int WORKERS = 8;
@@ -30,11 +30,11 @@
     private static final int[] CLIENT_COUNTS = {1, 32};
     private static final String PASS_THROUGH = "pass-through";
     private static final String STALLING = "stalling";
-    /** Switches the event log on in a router's configuration. */
+    /** Enables the event log in a router's configuration. */
     private static final String WITH_EVENT_LOG = "records: {}\n";
 
-    /** A way of requests to the workers, by the ports that clients send to. */
-    private record Way(String name, List<Integer> ports) {}
+    /** A path of requests to the workers, given by the ports to which clients send. */
+    private record RequestPath(String name, List<Integer> ports) {}
 
     private final Path folder;
     private final PrintStream out;
@@ -48,12 +48,12 @@
     }
 
     /**
-     * Runs rounds for each way and each number of clients, and prints the tables.
+     * Runs the rounds for each request path and each number of clients, and prints the tables.
      *
      * @param program the command that runs this program
-     * @param seconds length of a round
-     * @param records compares routers instead of ways: without an event log, with one, and with one whose disk stalls
-     *     for half a second out of two
+     * @param seconds duration of a round
+     * @param records whether to compare routers instead of request paths: without an event log, with one, and with one
+     *     whose disk stalls for half a second out of every two
      */
     public static void run(List<String> program, Path folder, int rounds, int seconds, boolean records, PrintStream out)
             throws IOException {
@@ -75,40 +75,43 @@
         }
         Fleet registry = startRegistry(workers);
         if (records) {
-            List<Way> ways = eventLogWays(registry.discoveryPort());
+            List<RequestPath> requestPaths = eventLogPaths(registry.discoveryPort());
             DiskStallInjector stalls = DiskStallInjector.begin(folder.resolve("data-" + STALLING + "/records"));
             try {
-                measure(ways, rounds, seconds);
+                measure(requestPaths, rounds, seconds);
             } finally {
                 stalls.close();
             }
         } else {
-            measure(ways(workers, registry.discoveryPort()), rounds, seconds);
+            measure(requestPaths(workers, registry.discoveryPort()), rounds, seconds);
         }
         registry.close();
     }
 
-    private List<Way> eventLogWays(int discoveryPort) throws IOException {
+    private List<RequestPath> eventLogPaths(int discoveryPort) throws IOException {
         return List.of(
                 startRouter("off", discoveryPort, ""),
                 startRouter("records", discoveryPort, WITH_EVENT_LOG),
                 startRouter(STALLING, discoveryPort, WITH_EVENT_LOG));
     }
 
-    private List<Way> ways(List<Integer> workers, int discoveryPort) throws IOException {
-        return List.of(new Way("direct", workers), startPassThrough(workers), startRouter("router", discoveryPort, ""));
+    private List<RequestPath> requestPaths(List<Integer> workers, int discoveryPort) throws IOException {
+        return List.of(
+                new RequestPath("direct", workers),
+                startPassThrough(workers),
+                startRouter("router", discoveryPort, ""));
     }
 
-    private void measure(List<Way> ways, int rounds, int seconds) {
+    private void measure(List<RequestPath> requestPaths, int rounds, int seconds) {
         for (int clients : CLIENT_COUNTS) {
-            for (Way way : ways) {
-                ClosedLoopClients.run(vertx, way.ports(), clients, WARM_UP_SECONDS);
+            for (RequestPath requestPath : requestPaths) {
+                ClosedLoopClients.run(vertx, requestPath.ports(), clients, WARM_UP_SECONDS);
             }
             Map<String, List<ClosedLoopClients.Round>> measured = new LinkedHashMap<>();
             for (int i = 0; i < rounds; i++) {
-                for (Way way : ways) {
-                    measured.computeIfAbsent(way.name(), name -> new ArrayList<>())
-                            .add(ClosedLoopClients.run(vertx, way.ports(), clients, seconds));
+                for (RequestPath requestPath : requestPaths) {
+                    measured.computeIfAbsent(requestPath.name(), name -> new ArrayList<>())
+                            .add(ClosedLoopClients.run(vertx, requestPath.ports(), clients, seconds));
                 }
             }
             out.printf(
@@ -118,7 +121,7 @@
                     clients == 1 ? "" : "s",
                     rounds,
                     seconds);
-            String first = ways.get(0).name();
+            String first = requestPaths.get(0).name();
             new BenchmarkTable(measured, out).print(measured.containsKey(PASS_THROUGH) ? PASS_THROUGH : first);
         }
     }
@@ -133,13 +136,13 @@
         return registry;
     }
 
-    private Way startPassThrough(List<Integer> workers) throws IOException {
+    private RequestPath startPassThrough(List<Integer> workers) throws IOException {
         String targets = String.join(",", workers.stream().map(Object::toString).toList());
         String line = processes.start(PASS_THROUGH, PASS_THROUGH, "--targets", targets);
-        return new Way(PASS_THROUGH, List.of(ChildProcesses.number(line, "port")));
+        return new RequestPath(PASS_THROUGH, List.of(ChildProcesses.number(line, "port")));
     }
 
-    private Way startRouter(String name, int discoveryPort, String furtherSections) throws IOException {
+    private RequestPath startRouter(String name, int discoveryPort, String furtherSections) throws IOException {
         Path file = folder.resolve(name + ".yaml");
         Files.writeString(
                 file,
@@ -148,7 +151,7 @@
                         + "categories:\n  draft: {expected: 1 s, abandon: 3 s, effect: retriable}\n"
                         + "models:\n  - {name: \"m-*\", memory: 100 MB, lanes: 64}\n" + furtherSections);
         String line = processes.start(name, "router", "-c", file.toString(), "--log", "JSON");
-        return new Way(name, List.of(ChildProcesses.number(line, "port")));
+        return new RequestPath(name, List.of(ChildProcesses.number(line, "port")));
     }
 
     /** Starts a worker that answers at once and returns its port. */
--- a/testbed/src/main/java/pearladder/testbed/BenchmarkTable.java
+++ b/testbed/src/main/java/pearladder/testbed/BenchmarkTable.java
@@ -8,15 +8,15 @@
 import java.util.function.ToDoubleFunction;
 import pearladder.testbed.ClosedLoopClients.Round;
 
-/** Prints the rounds of a benchmark as a table of medians and compares the ways with a baseline. */
+/** Prints the rounds of a benchmark as a table of medians and compares the request paths with a baseline. */
 final class BenchmarkTable {
-    /** A way with more failures than this, as a share of its successes, was not measured. */
-    private static final double MOST_FAILURES = 0.01;
+    /** Largest ratio of failures to successes with which the figures of a request path are valid. */
+    private static final double MAX_FAILURE_RATIO = 0.01;
 
-    /** A figure over the rounds, sorted. */
-    private record Figure(double[] sorted) {
-        static Figure of(List<Round> rounds, ToDoubleFunction<Round> figure) {
-            return new Figure(rounds.stream().mapToDouble(figure).sorted().toArray());
+    /** The values of one metric over all rounds, sorted. */
+    private record Metric(double[] sorted) {
+        static Metric of(List<Round> rounds, ToDoubleFunction<Round> metric) {
+            return new Metric(rounds.stream().mapToDouble(metric).sorted().toArray());
         }
 
         double median() {
@@ -28,13 +28,13 @@
         }
     }
 
-    /** The figures of one way. */
-    private record Row(Figure p50Micros, Figure p99Micros, Figure perSecond, long failures, long successes) {
+    /** The metrics of one request path. */
+    private record Row(Metric p50Micros, Metric p99Micros, Metric perSecond, long failures, long successes) {
         static Row of(List<Round> rounds) {
             return new Row(
-                    Figure.of(rounds, round -> round.latencyMicros(50)),
-                    Figure.of(rounds, round -> round.latencyMicros(99)),
-                    Figure.of(rounds, Round::successesPerSecond),
+                    Metric.of(rounds, round -> round.latencyMicros(50)),
+                    Metric.of(rounds, round -> round.latencyMicros(99)),
+                    Metric.of(rounds, Round::successesPerSecond),
                     rounds.stream().mapToLong(Round::failures).sum(),
                     rounds.stream().mapToLong(Round::successes).sum());
         }
@@ -46,7 +46,7 @@
     /**
      * Creates a table.
      *
-     * @param rounds by the name of the way, in the order of the rows
+     * @param rounds rounds by the name of the request path, in the order of the rows
      */
     BenchmarkTable(Map<String, List<Round>> rounds, PrintStream out) {
         rounds.forEach((name, each) -> rows.put(name, Row.of(each)));
@@ -56,7 +56,7 @@
     /**
      * Prints the table.
      *
-     * @param baseline the ways after this one are compared with it
+     * @param baseline name of the request path with which the paths after it are compared
      */
     void print(String baseline) {
         out.printf(
@@ -74,9 +74,9 @@
         names.subList(names.indexOf(baseline) + 1, names.size()).forEach(name -> compare(name, baseline));
     }
 
-    /** A table of failures is no measurement. */
+    /** Fails if too many requests failed for the figures to be a valid measurement. */
     private static void requireSuccesses(String name, Row row) {
-        if (row.failures() > MOST_FAILURES * row.successes()) {
+        if (row.failures() > MAX_FAILURE_RATIO * row.successes()) {
             throw new IllegalStateException(name + ": more than one call in a hundred was not settled");
         }
     }
--- a/testbed/src/main/java/pearladder/testbed/Charts.java
+++ b/testbed/src/main/java/pearladder/testbed/Charts.java
@@ -9,14 +9,14 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Charts of one size for the pages of reports. */
+/** Creates charts of a uniform size for report pages. */
 final class Charts {
     private static final int WIDTH_PIXELS = 1100;
     private static final int HEIGHT_PIXELS = 420;
 
     private Charts() {}
 
-    /** An empty chart of values over values. */
+    /** Returns an empty line chart. */
     static XYChart lines(String title, String xTitle, String yTitle) {
         return new XYChartBuilder()
                 .width(WIDTH_PIXELS)
@@ -27,7 +27,7 @@
                 .build();
     }
 
-    /** A chart over the seconds of a scenario, with a legend beside it. */
+    /** Returns an empty line chart over the seconds of a scenario, with a legend beside it. */
     static XYChart overTime(String title, String yTitle) {
         XYChart chart = lines(title, "seconds of the day", yTitle);
         chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE);
@@ -39,7 +39,7 @@
         chart.addSeries(name, x, y).setMarker(SeriesMarkers.NONE);
     }
 
-    /** A chart of stacked bars: by series, by the label below the bar. */
+    /** Returns a chart of stacked bars; the values are given by series, then by the label below the bar. */
     static CategoryChart stackedBars(
             String title, String unit, List<String> labels, Map<String, Map<String, Double>> series) {
         CategoryChart chart = new CategoryChartBuilder()
@@ -56,7 +56,7 @@
         return chart;
     }
 
-    /** An empty chart of bars. */
+    /** Returns an empty bar chart. */
     static CategoryChart bars(String title, String xTitle, String yTitle) {
         return new CategoryChartBuilder()
                 .width(WIDTH_PIXELS)
--- a/testbed/src/main/java/pearladder/testbed/ChildProcesses.java
+++ b/testbed/src/main/java/pearladder/testbed/ChildProcesses.java
@@ -15,12 +15,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Child processes that run this program's commands; started, and ended one by one, by name. Thread-safe. */
+/** Child processes that run commands of this program; each is started and stopped by name. Thread-safe. */
 final class ChildProcesses implements AutoCloseable {
-    private static final String FIRST_COMPILER_ONLY = "-XX:TieredStopAtLevel=1";
+    private static final String C1_COMPILER_ONLY = "-XX:TieredStopAtLevel=1";
     private static final long STOP_TIMEOUT_SECONDS = 15;
-    private static final int KILLED = -1;
-    /** Lines of its log that are shown where a process did not start. */
+    private static final int EXIT_CODE_KILLED = -1;
+    /** Number of last log lines in the error message of a process that did not start. */
     private static final int LOG_LINES_SHOWN = 3;
 
     private final List<String> program;
@@ -30,7 +30,7 @@
     /**
      * Creates an empty set of processes.
      *
-     * @param program the command that runs this program, to which a command's own words are added
+     * @param program the command that runs this program, to which the arguments of a command are appended
      * @param folder for the processes' logs
      */
     ChildProcesses(List<String> program, Path folder) {
@@ -40,18 +40,19 @@
     /**
      * Creates an empty set of processes.
      *
-     * @param crowded whether they are many for the cores of this machine: they then use the first compiler only, as a
-     *     dozen virtual machines that optimize the same code at once starve what is measured
+     * @param outnumberCores whether the processes outnumber the cores of this machine: they then use the C1 compiler
+     *     only, because a dozen virtual machines that optimize the same code at once starve the measured processes of
+     *     CPU
      */
-    ChildProcesses(List<String> program, Path folder, boolean crowded) {
+    ChildProcesses(List<String> program, Path folder, boolean outnumberCores) {
         this.program = new ArrayList<>(program);
         this.folder = folder;
-        if (crowded) {
-            this.program.add(1, FIRST_COMPILER_ONLY);
+        if (outnumberCores) {
+            this.program.add(1, C1_COMPILER_ONLY);
         }
     }
 
-    /** Starts one and returns the first line that it prints, a JSON object with its ports. */
+    /** Starts a process and returns the first line that it prints, a JSON object with its ports. */
     String start(String name, String... arguments) throws IOException {
         List<String> command = new ArrayList<>(program);
         command.addAll(List.of(arguments));
@@ -64,20 +65,20 @@
         String line =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8)).readLine();
         if (line == null) {
-            throw new IOException(name + " did not start: " + endOf(log));
+            throw new IOException(name + " did not start: " + lastLinesOf(log));
         }
         return line;
     }
 
-    private static String endOf(Path log) throws IOException {
+    private static String lastLinesOf(Path log) throws IOException {
         List<String> lines = Files.readAllLines(log);
         if (lines.isEmpty()) {
-            return "it said nothing";
+            return "its log is empty";
         }
         return String.join(" / ", lines.subList(Math.max(0, lines.size() - LOG_LINES_SHOWN), lines.size()));
     }
 
-    /** Kills one outright. */
+    /** Kills a process without a graceful shutdown. */
     void kill(String name) {
         Process process = running.get(name);
         if (process != null) {
@@ -85,13 +86,13 @@
         }
     }
 
-    /** Whether one runs. */
+    /** Returns whether a process is running. */
     boolean alive(String name) {
         Process process = running.get(name);
         return process != null && process.isAlive();
     }
 
-    /** Asks one to end and returns its exit code, or -1 where it had to be killed. */
+    /** Terminates a process gracefully and returns its exit code, or -1 if it had to be killed. */
     int stop(String name) {
         Process process = running.remove(name);
         if (process == null) {
@@ -106,7 +107,7 @@
             Thread.currentThread().interrupt();
         }
         process.destroyForcibly();
-        return KILLED;
+        return EXIT_CODE_KILLED;
     }
 
     @Override
@@ -114,7 +115,7 @@
         List.copyOf(running.keySet()).forEach(this::stop);
     }
 
-    /** A number in the line that a process printed, by its name. */
+    /** Returns the named number in the line that a process printed. */
     static int number(String line, String name) throws IOException {
         Matcher found = Pattern.compile("\"" + name + "\":([0-9]+)").matcher(line);
         if (!found.find()) {
--- a/testbed/src/main/java/pearladder/testbed/ClientLoadBalancer.java
+++ b/testbed/src/main/java/pearladder/testbed/ClientLoadBalancer.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /**
- * The load balancer in front of the routers: spreads clients round robin over the routers of their zone, and goes on
- * sending to a dead one until it notices. Routers are added before the first request; after that it is thread-safe.
+ * The load balancer in front of the routers: distributes requests round robin over the routers of the client's zone,
+ * and keeps sending to a dead router until it has detected its death. Thread-safe once all routers are added.
  */
 public final class ClientLoadBalancer {
-    /** A router as clients reach it. */
+    /** A router and the port on which clients reach it. */
     public record Target(String router, int port) {}
 
     private static final long ALIVE = -1;
@@ -18,7 +18,7 @@
     private static final class Backend {
         private final Target target;
         private final String zone;
-        /** Nanoseconds, or {@link #ALIVE}. */
+        /** Time of death in nanoseconds, or {@link #ALIVE}. */
         private volatile long diedAt = ALIVE;
 
         Backend(Target target, String zone) {
@@ -27,7 +27,7 @@
         }
     }
 
-    private final long lag;
+    private final long failureDetectionNanos;
     private final Map<String, Backend> byName = new HashMap<>();
     private final List<Backend> backends = new ArrayList<>();
     private long turn;
@@ -35,10 +35,10 @@
     /**
      * Creates a load balancer without routers.
      *
-     * @param lag nanoseconds until it notices that a router died
+     * @param failureDetectionNanos nanoseconds until the load balancer detects that a router died
      */
-    public ClientLoadBalancer(long lag) {
-        this.lag = lag;
+    public ClientLoadBalancer(long failureDetectionNanos) {
+        this.failureDetectionNanos = failureDetectionNanos;
     }
 
     /** Adds a router that is alive. */
@@ -48,17 +48,17 @@
         backends.add(backend);
     }
 
-    /** A router died at a moment, in nanoseconds. */
+    /** Marks a router as dead since a point in time, in nanoseconds. */
     public void markDead(String router, long now) {
         byName.get(router).diedAt = now;
     }
 
-    /** A router that had died is alive again. */
+    /** Marks a dead router as alive again. */
     public void markAlive(String router) {
         byName.get(router).diedAt = ALIVE;
     }
 
-    /** The next router for a client of a zone: one of its zone, else any, else one that is known to be dead. */
+    /** Returns the next router for a client: one of its zone, else of any zone, else one that is known to be dead. */
     public synchronized Target next(String zone, long now) {
         int usable = 0;
         int usableInZone = 0;
@@ -77,10 +77,10 @@
                 return backend.target;
             }
         }
-        throw new IllegalStateException("no router");
+        throw new IllegalStateException("no router was added");
     }
 
     private boolean isUsable(Backend backend, long now) {
-        return backend.diedAt < 0 || now - backend.diedAt < lag;
+        return backend.diedAt < 0 || now - backend.diedAt < failureDetectionNanos;
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/ClosedLoopClients.java
+++ b/testbed/src/main/java/pearladder/testbed/ClosedLoopClients.java
@@ -15,16 +15,16 @@
 import pearladder.kserve.Headers;
 import pearladder.kserve.RequestOutcome;
 
-/** Clients of a benchmark, closed loop: each sends its next request when the one before has ended. One event loop. */
+/** Closed-loop clients of a benchmark, on one event loop: each sends a request when its previous one has ended. */
 final class ClosedLoopClients {
-    /** What one round measured. */
+    /** The measurements of one round. */
     static final class Round {
         private final Histogram latencies = new Histogram(TimeUnit.SECONDS.toNanos(10), 3);
         private long successes;
         private long failures;
         private double seconds;
 
-        /** A percentile (0 to 100) of the latencies of successes. */
+        /** Returns a percentile (0 to 100) of the latencies of successful requests. */
         double latencyMicros(double percentile) {
             return latencies.getValueAtPercentile(percentile) / 1e3;
         }
@@ -46,8 +46,8 @@
     private static final int MODELS = 20;
     private static final int SPARE_CONNECTIONS = 8;
     private static final int HTTP_OK = 200;
-    /** Longer latencies are recorded as this. */
-    private static final long LONGEST_RECORDED_NANOS = TimeUnit.SECONDS.toNanos(9);
+    /** Upper bound of the recorded latencies; longer ones are recorded as this value. */
+    private static final long MAX_RECORDED_NANOS = TimeUnit.SECONDS.toNanos(9);
 
     private static final String BODY = "{\"inputs\":[{\"name\":\"in\",\"datatype\":\"BYTES\","
             + "\"shape\":[1],\"data\":[\"some text of a usual length to be translated\"]}]}";
@@ -66,7 +66,7 @@
         this.endAt = endAt;
     }
 
-    /** Runs one round and waits for its end; the clients take the ports in turns. */
+    /** Runs one round and waits for its end; the clients use the ports in turn. */
     static Round run(Vertx vertx, List<Integer> ports, int clients, int seconds) {
         HttpClient client = vertx.createHttpClient(
                 new HttpClientOptions().setTcpNoDelay(true),
@@ -115,7 +115,7 @@
         boolean succeeded = state == null || state.equals(RequestOutcome.SETTLED.code());
         if (response.statusCode() == HTTP_OK && succeeded) {
             round.successes++;
-            round.latencies.recordValue(Math.min(LONGEST_RECORDED_NANOS, System.nanoTime() - sentAt));
+            round.latencies.recordValue(Math.min(MAX_RECORDED_NANOS, System.nanoTime() - sentAt));
         } else {
             round.failures++;
         }
--- a/testbed/src/main/java/pearladder/testbed/ComparisonSection.java
+++ b/testbed/src/main/java/pearladder/testbed/ComparisonSection.java
@@ -12,12 +12,12 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.style.Styler;
 
-/** The part of a report that sets its runs side by side. */
+/** The section of a report that compares its runs. */
 final class ComparisonSection {
-    /** More runs, or groups of runs, than this make a chart unreadable. */
+    /** Maximum number of runs, or groups of runs, in a chart; more make it unreadable. */
     private static final int MAX_CHARTED = 12;
-    /** The least value on a logarithmic axis of latencies, in milliseconds. */
-    private static final double LEAST_LATENCY_MILLIS = 0.1;
+    /** Smallest value on a logarithmic axis of latencies. */
+    private static final double MIN_LATENCY_MILLIS = 0.1;
 
     private static final int SECONDS_PER_MINUTE = 60;
     private static final Color BAR_COLOR = new Color(70, 120, 170);
@@ -65,7 +65,7 @@
                 broken == 0 ? ">kept" : " class=broken>broken " + broken + " times");
     }
 
-    /** Runs that differ only in their seed ("name.s1", "name.s2"): the mean and the spread. */
+    /** Appends mean and range of the groups of runs that differ only in their seed ("name.s1", "name.s2"). */
     private void appendSeedGroups() throws IOException {
         Map<String, List<Double>> credits = new TreeMap<>();
         runs.forEach(
@@ -104,7 +104,7 @@
         return values.stream().mapToDouble(value -> value).average().orElse(0);
     }
 
-    /** The furthest that a value is from the mean. */
+    /** Returns the largest distance of a value from the mean. */
     private static double spread(List<Double> values) {
         double mean = mean(values);
         return values.stream()
@@ -113,7 +113,7 @@
                 .orElse(0);
     }
 
-    /** Only of simulations of one scenario at several sizes: what grows with the fleet. */
+    /** Appends the figures that depend on the fleet size, for simulations of one scenario at several sizes only. */
     private void appendGrowth() throws IOException {
         TreeMap<Integer, JsonNode> bySize = new TreeMap<>();
         runs.values().stream()
@@ -176,7 +176,7 @@
         List<Double> millis = new ArrayList<>();
         run.path("latency_ms").properties().forEach(point -> {
             percentiles.add(Double.parseDouble(point.getKey()));
-            millis.add(Math.max(LEAST_LATENCY_MILLIS, point.getValue().asDouble()));
+            millis.add(Math.max(MIN_LATENCY_MILLIS, point.getValue().asDouble()));
         });
         if (!percentiles.isEmpty()) {
             chart.addSeries(name, percentiles, millis);
--- a/testbed/src/main/java/pearladder/testbed/DecisionCost.java
+++ b/testbed/src/main/java/pearladder/testbed/DecisionCost.java
@@ -17,15 +17,15 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Measures what a request costs the policy itself, with no socket: microseconds and bytes for its arrival, the ends
- * of its attempts and its share of the ticks, by the size of the fleet. Time is simulated; attempts succeed after 20
- * ms on an instance that is loaded.
+ * Measures the cost of a request in the routing policy alone, without sockets: microseconds and allocated bytes for its
+ * arrival, the ends of its attempts and its share of the ticks, by fleet size. Time is simulated; attempts succeed
+ * after 20 ms on a loaded instance.
  */
 public final class DecisionCost {
-    /** Makes an instance of a policy. */
+    /** Creates instances of a policy. */
     public interface PolicyFactory {
-        /** A new instance for these settings, whose random choices come from the seed. */
-        RoutingPolicy make(long seed, RoutingSettings facts);
+        /** Creates an instance with the given settings, whose random choices are derived from the seed. */
+        RoutingPolicy make(long seed, RoutingSettings settings);
     }
 
     private static final int MODELS = 400;
@@ -41,7 +41,7 @@
 
     private record PendingAttempt(MonotonicTime dueAt, Event.AttemptEnded end) {}
 
-    /** What one round measured, by request. */
+    /** The cost measured in one round, for each request. */
     private record Cost(double micros, double bytes, double rejectedShare) {}
 
     private final RoutingPolicy policy;
@@ -64,7 +64,7 @@
      * @param sizes numbers of workers
      * @return lines of a table: a row for each size, medians over the rounds
      */
-    public static List<String> run(PolicyFactory maker, int rounds, int... sizes) {
+    public static List<String> run(PolicyFactory factory, int rounds, int... sizes) {
         List<String> rows = new ArrayList<>();
         rows.add(String.format(
                 Locale.ROOT,
@@ -75,29 +75,29 @@
                 "dismissed",
                 "calls a round"));
         for (int size : sizes) {
-            rows.add(row(maker, rounds, size));
+            rows.add(row(factory, rounds, size));
         }
         return rows;
     }
 
-    /** The median over the rounds of what a request costs with so many workers, in microseconds. */
-    public static double micros(PolicyFactory maker, int rounds, int size) {
-        measure(maker, size);
+    /** Returns the median over the rounds of the cost of a request, in microseconds, with {@code size} workers. */
+    public static double micros(PolicyFactory factory, int rounds, int size) {
+        measure(factory, size);
         double[] micros = new double[rounds];
         for (int i = 0; i < rounds; i++) {
-            micros[i] = measure(maker, size).micros();
+            micros[i] = measure(factory, size).micros();
         }
         Arrays.sort(micros);
         return micros[rounds / 2];
     }
 
-    private static String row(PolicyFactory maker, int rounds, int size) {
-        measure(maker, size);
+    private static String row(PolicyFactory factory, int rounds, int size) {
+        measure(factory, size);
         double[] micros = new double[rounds];
         double[] bytes = new double[rounds];
         double rejectedShare = 0;
         for (int i = 0; i < rounds; i++) {
-            Cost cost = measure(maker, size);
+            Cost cost = measure(factory, size);
             micros[i] = cost.micros();
             bytes[i] = cost.bytes();
             rejectedShare = cost.rejectedShare();
@@ -116,8 +116,8 @@
                 REQUESTS);
     }
 
-    private static Cost measure(PolicyFactory maker, int workers) {
-        return new DecisionCost(maker.make(POLICY_SEED, settings())).run(workers);
+    private static Cost measure(PolicyFactory factory, int workers) {
+        return new DecisionCost(factory.make(POLICY_SEED, settings())).run(workers);
     }
 
     private static RoutingSettings settings() {
@@ -154,7 +154,7 @@
                 0);
     }
 
-    /** One round; the rate grows with the fleet. */
+    /** Runs one round; the request rate is proportional to the number of workers. */
     private Cost run(int workers) {
         SplittableRandom random = new SplittableRandom(LOAD_SEED);
         TimeSpan interval = TimeSpan.seconds(1.0 / (REQUESTS_PER_SECOND_AND_WORKER * workers));
@@ -164,7 +164,7 @@
         for (int request = 0; request < REQUESTS; request++) {
             now = now.plus(interval);
             addDue(events, now);
-            // cubed, so that a few models get most of the requests
+            // The cube skews the distribution: a few models get most of the requests.
             int model = (int) (MODELS * Math.pow(random.nextDouble(), 3));
             events.add(arrival(request, model));
             for (Event event : events) {
@@ -183,7 +183,7 @@
         return endpoints;
     }
 
-    /** Adds the attempts that have ended by now, and one tick however many are due. */
+    /** Adds the ends of the attempts that have ended by now, and a single tick even if several are due. */
     private void addDue(List<Event> events, MonotonicTime now) {
         while (!attempts.isEmpty() && attempts.peek().dueAt().isBefore(now)) {
             events.add(attempts.poll().end());
--- a/testbed/src/main/java/pearladder/testbed/DiskStallInjector.java
+++ b/testbed/src/main/java/pearladder/testbed/DiskStallInjector.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import org.sqlite.JDBC;
 
-/** Stalls the disk of a running router: its event log is locked for writing for half a second out of two. */
+/** Simulates disk stalls of a running router: locks its event log for half a second out of every two. */
 final class DiskStallInjector implements AutoCloseable {
     private static final long STALL_MILLIS = 500;
     private static final long PERIOD_MILLIS = 2000;
@@ -27,7 +27,7 @@
         thread.setDaemon(true);
     }
 
-    /** Starts to stall the newest segment of the event log in a folder. */
+    /** Starts stalling writes to the newest segment of the event log in a folder. */
     static DiskStallInjector begin(Path folder) throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.list(folder)) {
@@ -52,7 +52,7 @@
                 }
             }
         } catch (SQLException | InterruptedException failed) {
-            throw new IllegalStateException("the disk stalls ended: " + failed.getMessage(), failed);
+            throw new IllegalStateException("disk stall injection failed: " + failed.getMessage(), failed);
         }
     }
 
--- a/testbed/src/main/java/pearladder/testbed/DrainCheck.java
+++ b/testbed/src/main/java/pearladder/testbed/DrainCheck.java
@@ -6,7 +6,7 @@
 import pearladder.emulator.Observation;
 import pearladder.testbed.InvariantChecker.Invariant;
 
-/** Checks that a router sends nothing new to a worker that was reported to it as draining or gone, after a grace. */
+/** Checks that, after a grace period, a router sends nothing new to a worker reported to it as draining or gone. */
 final class DrainCheck {
     private static final String IN_SERVICE = "IN_SERVICE";
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -14,13 +14,13 @@
     private final InvariantSettings settings;
     private final long slack;
     private final CheckFindings findings;
-    /** The state of each worker that was last reported to each router, from the time of the last change on. */
+    /** The state of each worker last reported to each router, as observed when that state last changed. */
     private final Map<RouterAndWorker, Observation> states = new HashMap<>();
 
     /**
      * Creates a check.
      *
-     * @param slack in nanoseconds
+     * @param slack tolerance in nanoseconds
      */
     DrainCheck(InvariantSettings settings, long slack, CheckFindings findings) {
         this.settings = settings;
@@ -31,7 +31,7 @@
     void check(List<Observation> inOrder) {
         for (Observation seen : inOrder) {
             switch (seen.event()) {
-                case Observation.ENDPOINT_SENT -> stateTold(seen);
+                case Observation.ENDPOINT_SENT -> recordReportedState(seen);
                 case Observation.KILLED -> states.keySet()
                         .removeIf(pair -> pair.router().equals(seen.router()));
                 case Observation.ARRIVED -> checkSent(seen, "call " + seen.requestId());
@@ -45,7 +45,7 @@
         }
     }
 
-    private void stateTold(Observation seen) {
+    private void recordReportedState(Observation seen) {
         RouterAndWorker pair = RouterAndWorker.of(seen);
         Observation before = states.get(pair);
         if (before == null || !before.note().equals(seen.note())) {
@@ -53,7 +53,7 @@
         }
     }
 
-    private void checkSent(Observation seen, String what) {
+    private void checkSent(Observation seen, String sentItem) {
         findings.recordChecked(Invariant.DRAIN_RESPECTED);
         Observation lastState = states.get(RouterAndWorker.of(seen));
         if (lastState == null
@@ -64,7 +64,7 @@
         findings.recordViolation(
                 Invariant.DRAIN_RESPECTED,
                 seen.at(),
-                seen.router() + " sent " + what + " to " + seen.worker() + " "
+                seen.router() + " sent " + sentItem + " to " + seen.worker() + " "
                         + (seen.at() - lastState.at()) / NANOS_PER_MILLI + " ms after it was told " + lastState.note());
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/Experiment.java
+++ b/testbed/src/main/java/pearladder/testbed/Experiment.java
@@ -18,8 +18,9 @@
 import org.apache.commons.csv.CSVPrinter;
 
 /**
- * Runs the scenarios of a grid one by one. Each run keeps its results in a folder of its own, so that an experiment
- * that was cut off resumes where it was; a run is repeated where the build or its script has changed since.
+ * Runs the scenarios of a grid one after the other. Each run stores its results in its own folder, so that an
+ * interrupted experiment resumes with the first run without results; a run is repeated if the build or its script has
+ * changed since.
  */
 public final class Experiment {
     private static final YAMLMapper YAML = new YAMLMapper();
@@ -48,8 +49,8 @@
     private final List<String> program;
     private final String build;
     private final PrintStream progress;
-    private long spentMillis;
-    private int finished;
+    private long runMillisTotal;
+    private int finishedRuns;
 
     private Experiment(ExperimentPlan plan, Path folder, List<String> program, String build, PrintStream progress) {
         this.plan = plan;
@@ -60,7 +61,7 @@
     }
 
     /**
-     * Only reads a file and its base.
+     * Validates an experiment file and its base script without running anything.
      *
      * @throws pearladder.config.ConfigErrors.ConfigException with every mistake
      */
@@ -69,12 +70,12 @@
     }
 
     /**
-     * Runs what has no results yet, then writes results.csv and report.html.
+     * Runs the scenarios that have no results yet, then writes results.csv and report.html.
      *
-     * @param folder for the runs' folders
+     * @param folder parent of the folders of the runs
      * @param program the command that runs this program
-     * @param build which build this is, kept with each run
-     * @return how many runs broke an invariant or had a fault
+     * @param build identifier of this build, stored with the results of each run
+     * @return the number of runs with a violated invariant or a fault
      */
     public static int run(Path file, Path folder, List<String> program, String build, PrintStream progress)
             throws IOException, InterruptedException {
@@ -85,10 +86,10 @@
     }
 
     private int run() throws IOException, InterruptedException {
-        int broken = 0;
+        int failedRuns = 0;
         for (int i = 0; i < plan.runs().size(); i++) {
             ExperimentPlan.Run run = plan.runs().get(i);
-            JsonNode results = resultsOf(run, i);
+            JsonNode results = findOrMeasureResults(run, i);
             progress.println(String.format(
                     Locale.ROOT,
                     "  %s: credit %.3f, worst 10 s %.3f, p99 %.0f ms",
@@ -96,17 +97,17 @@
                     results.path("credit").asDouble(),
                     results.path("worst10s").asDouble(),
                     results.path("latency_ms").path("99.0").asDouble()));
-            int wrong =
+            int violationsAndFaults =
                     results.path("breaches").asInt() + results.path("faults").asInt();
-            broken += wrong > 0 ? 1 : 0;
+            failedRuns += violationsAndFaults > 0 ? 1 : 0;
         }
         writeTable();
         progress.println("report: " + Report.write(folder));
-        return broken;
+        return failedRuns;
     }
 
-    /** The results of a run, which is run first where they are missing or of another build or script. */
-    private JsonNode resultsOf(ExperimentPlan.Run run, int number) throws IOException, InterruptedException {
+    /** Returns the results of a run, after running it if they are missing or belong to another build or script. */
+    private JsonNode findOrMeasureResults(ExperimentPlan.Run run, int number) throws IOException, InterruptedException {
         Path runFolder = folder.resolve(run.label());
         String script = YAML.writeValueAsString(script(run));
         JsonNode results = Results.read(runFolder);
@@ -118,20 +119,20 @@
         int runs = plan.runs().size();
         progress.println("run " + (number + 1) + " of " + runs + ": " + run.label() + timeLeft(runs - number));
         long startedAt = System.nanoTime();
-        JsonNode measured = play(run, runFolder, script);
-        spentMillis += TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
-        finished++;
+        JsonNode measured = runScenario(run, runFolder, script);
+        runMillisTotal += TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
+        finishedRuns++;
         return measured;
     }
 
     private String timeLeft(int runsLeft) {
-        if (finished == 0) {
+        if (finishedRuns == 0) {
             return "";
         }
-        return ", about " + TimeUnit.MILLISECONDS.toMinutes(spentMillis / finished * runsLeft) + " min left";
+        return ", about " + TimeUnit.MILLISECONDS.toMinutes(runMillisTotal / finishedRuns * runsLeft) + " min left";
     }
 
-    private JsonNode play(ExperimentPlan.Run run, Path runFolder, String script)
+    private JsonNode runScenario(ExperimentPlan.Run run, Path runFolder, String script)
             throws IOException, InterruptedException {
         Files.createDirectories(runFolder);
         Path file = runFolder.resolve("day.yaml");
@@ -152,7 +153,7 @@
         return results;
     }
 
-    /** The base's script with what this run varies. */
+    /** Returns the base script with the variations of this run. */
     private ObjectNode script(ExperimentPlan.Run run) throws IOException {
         ObjectNode script = (ObjectNode) YAML.readTree(plan.base().toFile());
         script.withObject("/day").put("seed", run.seed()).put("name", run.label());
@@ -184,7 +185,7 @@
         }
     }
 
-    /** The fields of a run, in the order of {@link #CSV_HEADER}. */
+    /** Returns the fields of a run, in the order of {@link #CSV_HEADER}. */
     private List<Object> record(ExperimentPlan.Run run, JsonNode results) {
         return Arrays.asList(
                 run.label(),
--- a/testbed/src/main/java/pearladder/testbed/ExperimentPlan.java
+++ b/testbed/src/main/java/pearladder/testbed/ExperimentPlan.java
@@ -7,17 +7,17 @@
 import pearladder.config.YamlParser;
 
 /**
- * A grid of runs as its file describes it.
+ * A grid of runs, as described by an experiment file.
  *
- * @param base the script of the scenario that is varied
- * @param trace replayed in place of its load, or null
+ * @param base script of the scenario that is varied
+ * @param trace trace that is replayed in place of the load of the script, or null
  */
 record ExperimentPlan(String name, Path base, TraceWorkload.ReplaySettings trace, List<Run> runs) {
-    /** Which faults a run injects; the words of files. */
+    /** Which faults a run injects; the constant names are values in experiment files. */
     enum Faults {
-        /** Those of the script. */
+        /** The faults of the script. */
         AS_WRITTEN,
-        /** None. */
+        /** No faults. */
         NONE
     }
 
@@ -29,9 +29,9 @@
     /** Numbers of workers and routers that are varied together. */
     private record Size(int workers, int routers) {}
 
-    /** One run; 0 or a NaN keeps what the script says. */
+    /** One run; 0 or NaN keeps the value of the script. */
     record Run(String policy, int workers, int routers, double rate, double speed, Faults faults, int seed) {
-        /** A folder's name; runs that differ only in their seed differ only behind the last dot. */
+        /** Returns the folder name of the run; runs that differ only in their seed differ only after the last dot. */
         String label() {
             StringBuilder label = new StringBuilder(policy);
             if (workers > 0) {
@@ -41,10 +41,10 @@
                 label.append("-r").append(routers);
             }
             if (!Double.isNaN(rate)) {
-                label.append("-q").append(plain(rate));
+                label.append("-q").append(formatNumber(rate));
             }
             if (!Double.isNaN(speed)) {
-                label.append("-x").append(plain(speed));
+                label.append("-x").append(formatNumber(speed));
             }
             if (faults == Faults.NONE) {
                 label.append("-calm");
@@ -52,27 +52,27 @@
             return label.append(".s").append(seed).toString();
         }
 
-        private static String plain(double number) {
+        private static String formatNumber(double number) {
             return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
         }
     }
 
-    /** Reads a file; throws {@link pearladder.config.ConfigErrors.ConfigException} with every mistake in it. */
+    /** Reads a file; throws {@link pearladder.config.ConfigErrors.ConfigException} listing all errors in it. */
     static ExperimentPlan read(Path file) {
         return read(YamlParser.parse(file), file.toAbsolutePath().getParent());
     }
 
-    /** Reads a file that was parsed already; its paths are relative to the folder. */
-    static ExperimentPlan read(ConfigValue whole, Path folder) {
-        ConfigValue experiment = whole.at("experiment");
+    /** Reads a file that is already parsed; its paths are relative to the folder. */
+    static ExperimentPlan read(ConfigValue root, Path folder) {
+        ConfigValue experiment = root.at("experiment");
         ConfigValue vary = experiment.at("vary");
-        List<String> policies = orElse(vary.at("policy").each(ExperimentPlan::policy), POLICY);
+        List<String> policies = orDefault(vary.at("policy").each(ExperimentPlan::policy), POLICY);
         List<Size> sizes = sizes(vary);
-        List<Double> rates = orElse(vary.at("rate").each(value -> value.number(0.1, 1e6)), Double.NaN);
-        List<Double> speeds = orElse(vary.at("speed").each(value -> value.number(0.001, 1e6)), Double.NaN);
+        List<Double> rates = orDefault(vary.at("rate").each(value -> value.number(0.1, 1e6)), Double.NaN);
+        List<Double> speeds = orDefault(vary.at("speed").each(value -> value.number(0.001, 1e6)), Double.NaN);
         List<Faults> faults =
-                orElse(vary.at("troubles").each(value -> value.enumConstant(Faults.class, null)), Faults.AS_WRITTEN);
-        List<Integer> seeds = orElse(vary.at("seed").each(value -> value.wholeNumber(0, Integer.MAX_VALUE)), 1);
+                orDefault(vary.at("troubles").each(value -> value.enumConstant(Faults.class, null)), Faults.AS_WRITTEN);
+        List<Integer> seeds = orDefault(vary.at("seed").each(value -> value.wholeNumber(0, Integer.MAX_VALUE)), 1);
         TraceWorkload.ReplaySettings trace =
                 experiment.at("trace").isGiven() ? trace(experiment.at("trace"), folder) : null;
         if (trace == null && !speeds.get(0).isNaN()) {
@@ -80,7 +80,7 @@
         }
         String name = experiment.at("name").text("experiment");
         Path base = folder.resolve(experiment.at("base").text());
-        whole.requireValid();
+        root.requireValid();
         List<Run> runs = new ArrayList<>();
         for (String policy : policies) {
             for (Size size : sizes) {
@@ -109,19 +109,21 @@
         return runs;
     }
 
-    /** Sizes that are listed together, or else every number of workers with every number of routers. */
+    /** Returns the listed sizes or, if none are listed, all combinations of worker and router counts. */
     private static List<Size> sizes(ConfigValue vary) {
         List<Size> sizes = new ArrayList<>(vary.at("sizes")
                 .each(size -> new Size(
                         size.at("engines").wholeNumber(1, 1, MAX_WORKERS),
                         size.at("routers").wholeNumber(1, 1, MAX_ROUTERS))));
-        List<Integer> workers = orElse(vary.at("engines").each(value -> value.wholeNumber(1, MAX_WORKERS)), 0);
-        List<Integer> routers = orElse(vary.at("routers").each(value -> value.wholeNumber(1, MAX_ROUTERS)), 0);
+        List<Integer> workers = orDefault(vary.at("engines").each(value -> value.wholeNumber(1, MAX_WORKERS)), 0);
+        List<Integer> routers = orDefault(vary.at("routers").each(value -> value.wholeNumber(1, MAX_ROUTERS)), 0);
         if (sizes.isEmpty()) {
             workers.forEach(count -> routers.forEach(number -> sizes.add(new Size(count, number))));
         } else if (workers.get(0) > 0 || routers.get(0) > 0) {
             vary.at("sizes")
-                    .addError("sizes are listed, and engines or routers beside them", "keep one of the two ways");
+                    .addError(
+                            "sizes can't be combined with engines or routers",
+                            "keep either sizes or engines and routers");
         }
         return sizes;
     }
@@ -150,7 +152,7 @@
                 false);
     }
 
-    private static <T> List<T> orElse(List<T> values, T otherwise) {
-        return values.isEmpty() ? List.of(otherwise) : values;
+    private static <T> List<T> orDefault(List<T> values, T defaultValue) {
+        return values.isEmpty() ? List.of(defaultValue) : values;
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/FinalAnswerCheck.java
+++ b/testbed/src/main/java/pearladder/testbed/FinalAnswerCheck.java
@@ -10,8 +10,8 @@
 import pearladder.testbed.InvariantChecker.Invariant;
 
 /**
- * Checks that each request has one final answer in time. A router that was killed or paused owes none for that time,
- * nor does one for a request whose client could not reach it or left early.
+ * Checks that each request has exactly one final answer, in time. Requests are exempt if their router was killed or
+ * paused meanwhile, if their client could not connect to it, or if their client cancelled them early.
  */
 final class FinalAnswerCheck {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -25,7 +25,7 @@
     /**
      * Creates a check.
      *
-     * @param slack in nanoseconds
+     * @param slack tolerance in nanoseconds
      */
     FinalAnswerCheck(InvariantSettings settings, long slack, CheckFindings findings) {
         this.settings = settings;
@@ -48,38 +48,39 @@
 
     private void check(ObservedRequest request) {
         if (request.end() == null
-                || routerWasOut(request)
+                || routerWasUnavailable(request)
                 || request.endedUnanswered(ObservedRequest.UNREACHABLE)
                 || request.endedUnanswered(ObservedRequest.LEFT)) {
             return;
         }
         findings.recordChecked(Invariant.ONE_ANSWER);
-        String what = "call " + request.id() + " (" + request.requestClass() + ") at " + request.router();
+        String description = "call " + request.id() + " (" + request.requestClass() + ") at " + request.router();
         Observation end = request.end();
         long deadline = request.deadline();
         if (request.isUnanswered()) {
-            findings.recordViolation(Invariant.ONE_ANSWER, deadline, what + " got no final answer: " + end.note());
-        } else if (end.at() - clientPaused(deadline, end.at()) > deadline + settings.answerGrace() + slack) {
+            findings.recordViolation(
+                    Invariant.ONE_ANSWER, deadline, description + " got no final answer: " + end.note());
+        } else if (end.at() - clientPauseNanos(deadline, end.at()) > deadline + settings.answerGrace() + slack) {
             findings.recordViolation(
                     Invariant.ONE_ANSWER,
                     end.at(),
-                    what + " was " + end.note() + " " + (end.at() - deadline) / NANOS_PER_MILLI
+                    description + " was " + end.note() + " " + (end.at() - deadline) / NANOS_PER_MILLI
                             + " ms after the client's time was up");
         }
         if (request.hasSeveralAnswers()) {
-            findings.recordViolation(Invariant.ONE_ANSWER, end.at(), what + " got more than one final answer");
+            findings.recordViolation(Invariant.ONE_ANSWER, end.at(), description + " got more than one final answer");
         }
     }
 
-    private boolean routerWasOut(ObservedRequest request) {
+    private boolean routerWasUnavailable(ObservedRequest request) {
         long from = request.sentAt() - slack;
         long until = Math.min(request.deadline(), request.end().at()) + slack;
         return outages.getOrDefault(request.router(), List.of()).stream()
                 .anyMatch(outage -> outage.at() + (long) outage.value() >= from && outage.at() <= until);
     }
 
-    /** For how long the client itself was paused between a deadline and the time at which it saw the answer. */
-    private long clientPaused(long deadline, long seenAt) {
+    /** Returns how long the client process was paused between a deadline and the time at which it saw the answer. */
+    private long clientPauseNanos(long deadline, long seenAt) {
         long sum = 0;
         for (Observation pause : clientPauses.tailMap(deadline, true).values()) {
             long pausedFrom = Math.max(deadline, pause.at() - (long) pause.value());
--- a/testbed/src/main/java/pearladder/testbed/HtmlPage.java
+++ b/testbed/src/main/java/pearladder/testbed/HtmlPage.java
@@ -7,7 +7,7 @@
 import org.knowm.xchart.BitmapEncoder;
 import org.knowm.xchart.internal.chartpart.Chart;
 
-/** An HTML page that stands alone: charts are embedded as images and nothing is fetched from elsewhere. */
+/** A self-contained HTML page: charts are embedded as images, and no external resources are loaded. */
 final class HtmlPage {
     private static final String STYLE = "body{font:15px/1.45 sans-serif;max-width:1140px;margin:2em auto;padding:0 1em}"
             + "table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .7em;border-bottom:1px solid #ccc;"
@@ -18,12 +18,12 @@
 
     private HtmlPage() {}
 
-    /** A page with a title as its heading and no style of its own. */
+    /** Returns a page with a title as its heading and no style sheet. */
     static HtmlPage plain(String title) {
         return new HtmlPage().head(title, "");
     }
 
-    /** A page with a title as its heading and the style of reports. */
+    /** Returns a page with a title as its heading and the style sheet of reports. */
     static HtmlPage styled(String title) {
         return new HtmlPage().head(title, "<style>" + STYLE + "</style>");
     }
@@ -38,7 +38,7 @@
                 .markup("</h1>");
     }
 
-    /** Appends HTML as it is. */
+    /** Appends HTML without escaping it. */
     HtmlPage markup(String markup) {
         html.append(markup);
         return this;
--- a/testbed/src/main/java/pearladder/testbed/HttpClientDriver.java
+++ b/testbed/src/main/java/pearladder/testbed/HttpClientDriver.java
@@ -26,8 +26,8 @@
     private static final int UNBOUNDED = -1;
 
     private static final long PAUSE_CHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
-    /** A check that is later than this was held up by a pause of the process. */
-    private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+    /** A pause check that runs this long after the previous one indicates a pause of the process. */
+    private static final long MIN_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
 
     private static final int WARM_UP_ROUNDS = 100;
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -49,25 +49,26 @@
                 new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS).setMaxWaitQueueSize(UNBOUNDED));
     }
 
-    /** Reports every pause of this process from now on: what came meanwhile is observed late, whoever was on time. */
-    void watch(Consumer<Observation> observations) {
-        watch(observations, System.nanoTime());
+    /** Reports every pause of this process from now on; answers that arrive during a pause are observed late. */
+    void reportPauses(Consumer<Observation> observations) {
+        reportPauses(observations, System.nanoTime());
     }
 
-    private void watch(Consumer<Observation> observations, long lastCheckAt) {
+    private void reportPauses(Consumer<Observation> observations, long lastCheckAt) {
         vertx.setTimer(TimeUnit.NANOSECONDS.toMillis(PAUSE_CHECK_NANOS), timer -> {
             long now = System.nanoTime();
             long sinceLast = now - lastCheckAt;
-            if (sinceLast > PAUSE_NANOS) {
+            if (sinceLast > MIN_PAUSE_NANOS) {
                 long paused = sinceLast - PAUSE_CHECK_NANOS;
                 observations.accept(new Observation(now, Observation.CLIENT_PAUSED, "", "", 0, "", "", "", paused));
             }
-            watch(observations, now);
+            reportPauses(observations, now);
         });
     }
 
     /**
-     * Sends some rounds of health checks to each router, so that the first requests don't measure class loading here.
+     * Sends {@value #WARM_UP_ROUNDS} health checks to each router, so that the first requests do not measure class
+     * loading in this process.
      */
     Future<Void> warmUp(List<Integer> ports) {
         Future<Void> rounds = Future.succeededFuture();
@@ -86,46 +87,46 @@
     }
 
     @Override
-    public SentRequest send(LoadGenerator.Request request, LoadGenerator.ResponseListener heard) {
-        Sent sent = new Sent(request, heard);
+    public SentRequest send(LoadGenerator.Request request, LoadGenerator.ResponseListener listener) {
+        Sent sent = new Sent(request, listener);
         client.request(new RequestOptions()
                         .setMethod(HttpMethod.POST)
                         .setHost(HOST)
                         .setPort(request.target().port())
                         .setURI("/v2/models/" + request.scheduled().model() + "/infer"))
-                .onComplete(sent::write, unreachable -> heard.onNoAnswer(ObservedRequest.UNREACHABLE));
+                .onComplete(sent::write, unreachable -> listener.onNoAnswer(ObservedRequest.UNREACHABLE));
         return sent;
     }
 
     private static final class Sent implements SentRequest {
         private final LoadGenerator.Request request;
-        private final LoadGenerator.ResponseListener heard;
+        private final LoadGenerator.ResponseListener listener;
         private HttpClientRequest httpRequest;
-        private boolean dropped;
+        private boolean cancelled;
 
-        Sent(LoadGenerator.Request request, LoadGenerator.ResponseListener heard) {
+        Sent(LoadGenerator.Request request, LoadGenerator.ResponseListener listener) {
             this.request = request;
-            this.heard = heard;
+            this.listener = listener;
         }
 
-        /** Writes the request onto its connection, unless it was dropped meanwhile. */
+        /** Writes the request to its connection, unless it was cancelled in the meantime. */
         void write(HttpClientRequest connected) {
             httpRequest = connected;
-            if (dropped) {
+            if (cancelled) {
                 httpRequest.reset();
                 return;
             }
             putHeaders();
-            httpRequest.send(Buffer.buffer(body())).onComplete(this::answered, cut -> heard.onNoAnswer(CUT));
+            httpRequest.send(Buffer.buffer(body())).onComplete(this::answered, cut -> listener.onNoAnswer(CUT));
         }
 
         private void putHeaders() {
-            long patienceMillis = Math.max(1, request.timeToDeadline() / NANOS_PER_MILLI);
+            long timeoutMillis = Math.max(1, request.timeToDeadline() / NANOS_PER_MILLI);
             httpRequest
                     .putHeader("content-type", "application/json")
                     .putHeader(Headers.REQUEST_ID, request.id())
                     .putHeader(Headers.REQUEST_CLASS, request.terms().name())
-                    .putHeader(Headers.TIMEOUT_MS, Long.toString(patienceMillis));
+                    .putHeader(Headers.TIMEOUT_MS, Long.toString(timeoutMillis));
             if (!request.scheduled().tenant().isEmpty()) {
                 httpRequest.putHeader(Headers.TENANT, request.scheduled().tenant());
             }
@@ -144,12 +145,12 @@
         }
 
         private void answered(HttpClientResponse response) {
-            response.body().onComplete(body -> complete(response), cut -> heard.onNoAnswer(CUT));
+            response.body().onComplete(body -> complete(response), cut -> listener.onNoAnswer(CUT));
         }
 
         private void complete(HttpClientResponse response) {
             String version = response.getHeader(Headers.VERSION);
-            heard.onAnswer(
+            listener.onAnswer(
                     RequestOutcome.of(response.getHeader(Headers.OUTCOME)),
                     response.statusCode(),
                     version == null ? "" : version,
@@ -162,7 +163,7 @@
 
         @Override
         public void cancel() {
-            dropped = true;
+            cancelled = true;
             if (httpRequest != null) {
                 httpRequest.reset();
             }
--- a/testbed/src/main/java/pearladder/testbed/InvariantChecker.java
+++ b/testbed/src/main/java/pearladder/testbed/InvariantChecker.java
@@ -12,9 +12,9 @@
 import pearladder.emulator.Observation;
 
 /**
- * Checks the five invariants of a scenario from what was observed outside the routers and nothing else: at the
- * workers, at the endpoint registry and at the clients. A slack for sockets and for pauses of this machine is granted
- * and stated; a router that was killed or paused owes nothing for that time.
+ * Checks the five invariants of a scenario, using only observations made outside the routers: at the workers, at the
+ * endpoint registry and at the clients. The checks grant a stated slack for sockets and for pauses of this machine; a
+ * router is exempt for the time during which it was killed or paused.
  */
 public final class InvariantChecker {
     /** The invariants, in the order of docs/days.md. */
@@ -30,26 +30,26 @@
         /** Each router keeps to its load quota. */
         LOAD_QUOTA_KEPT("load orders rationed");
 
-        private final String words;
+        private final String label;
 
-        Invariant(String words) {
-            this.words = words;
+        Invariant(String label) {
+            this.label = label;
         }
 
-        /** The invariant as tables and results name it. */
+        /** Returns the name of the invariant in tables and results. */
         public String description() {
-            return words;
+            return label;
         }
     }
 
-    /** Violations listed one by one in a table; the others are only counted. */
-    private static final int VIOLATIONS_LISTED = 20;
+    /** Maximum number of violations listed individually in a table; further ones are only counted. */
+    private static final int MAX_LISTED_VIOLATIONS = 20;
 
     /**
      * One violation.
      *
-     * @param at nanoseconds of the observations' clock
-     * @param description of what happened
+     * @param at time on the observations' clock, in nanoseconds
+     * @param description the observed violation
      */
     public record Violation(Invariant rule, long at, String description) {}
 
@@ -57,23 +57,23 @@
      * The result of a check.
      *
      * @param violations in the order of time
-     * @param checkedCounts how many items each rule examined, so that a check that saw nothing can't pass for one that
-     *     found nothing
+     * @param checkedCounts the number of items that each rule examined; distinguishes a check without any items from a
+     *     check without violations
      */
     public record Verdict(List<Violation> violations, Map<Invariant, Long> checkedCounts) {
         /**
-         * A line for each rule, and the first violations.
+         * Returns a line for each rule, followed by the first violations.
          *
          * @param startedAt start of the scenario on the observations' clock, in nanoseconds
          */
         public List<String> lines(long startedAt, InvariantSettings rules) {
             List<String> lines = new ArrayList<>();
             for (Invariant rule : Invariant.values()) {
-                boolean unset = rule == Invariant.LOAD_QUOTA_KEPT && rules.quotaWindow() == 0;
+                boolean noQuota = rule == Invariant.LOAD_QUOTA_KEPT && rules.quotaWindow() == 0;
                 lines.add(String.format(
-                        Locale.ROOT, "%-46s %s", rule.description(), unset ? "no ration is set" : result(rule)));
+                        Locale.ROOT, "%-46s %s", rule.description(), noQuota ? "no ration is set" : result(rule)));
             }
-            for (Violation violation : violations.subList(0, Math.min(VIOLATIONS_LISTED, violations.size()))) {
+            for (Violation violation : violations.subList(0, Math.min(MAX_LISTED_VIOLATIONS, violations.size()))) {
                 lines.add(String.format(
                         Locale.ROOT, "  at %.3f s: %s", (violation.at() - startedAt) / 1e9, violation.description()));
             }
@@ -86,7 +86,7 @@
                     + " looked at";
         }
 
-        /** How many violations of a rule were found. */
+        /** Returns the number of violations of a rule. */
         long broken(Invariant rule) {
             return violations.stream()
                     .filter(violation -> violation.rule() == rule)
@@ -101,7 +101,7 @@
     /**
      * Creates a checker.
      *
-     * @param slack nanoseconds granted for sockets and pauses
+     * @param slack tolerance for sockets and pauses, in nanoseconds
      * @param workerLocations zone and cell of each worker, "zone/cell"
      */
     public InvariantChecker(InvariantSettings rules, long slack, Map<String, String> workerLocations) {
@@ -126,8 +126,9 @@
     }
 
     /**
-     * Removes attempts that a worker read right after a pause. What it makes of them is its own, and no router can
-     * take them back; if it paused for longer than it remembers idempotency keys, it broke its own promise.
+     * Removes attempts that a worker read right after a pause. No router can cancel such an attempt any more, so the
+     * worker alone is responsible for its effect; a worker that paused for longer than it retains idempotency keys has
+     * itself violated its deduplication guarantee.
      */
     private void removeAttemptsReadLate(List<Observation> inOrder) {
         Map<String, TreeSet<Long>> pauseEnds = new HashMap<>();
@@ -143,9 +144,9 @@
         for (Observation seen : inOrder) {
             TreeSet<Long> ends = pauseEnds.get(seen.worker());
             Long end = ends == null ? null : ends.floor(seen.at());
-            boolean read =
+            boolean isAttempt =
                     seen.event().equals(Observation.ARRIVED) || seen.event().equals(Observation.RAN);
-            if (read && end != null && seen.at() - end <= slack) {
+            if (isAttempt && end != null && seen.at() - end <= slack) {
                 readLate.add(AttemptAtWorker.of(seen));
             }
         }
--- a/testbed/src/main/java/pearladder/testbed/InvariantSettings.java
+++ b/testbed/src/main/java/pearladder/testbed/InvariantSettings.java
@@ -4,16 +4,17 @@
 import pearladder.config.ConfigValue;
 
 /**
- * What the invariant checks need of the routers' configuration; spans in nanoseconds.
+ * The settings of the routers that the invariant checks use; durations in nanoseconds.
  *
  * @param requestClasses the request classes, by their names
- * @param answerGrace how long after its deadline a request may be answered
- * @param drainGrace how long after a router learned that a worker drains or is gone it may send something new there
- * @param warmUpTime how long after its start a worker warms up
- * @param overloadWindow the span over which a worker that warms up is overloaded
- * @param quotaFree loads within a window that each router may request in any case
- * @param quotaShare further loads for each request to the router within the window
- * @param quotaWindow 0 where there is no load quota
+ * @param answerGrace time after its deadline within which a request may still be answered
+ * @param drainGrace time within which a router may still send new attempts to a worker after it was notified that the
+ *     worker is draining or gone
+ * @param warmUpTime time after its start during which a worker is warming up
+ * @param overloadWindow time over which the overload of a warming-up worker is measured
+ * @param quotaFree number of loads within a window that each router may request regardless of its requests
+ * @param quotaShare additional loads for each request sent to the router within the window
+ * @param quotaWindow length of the window; 0 if there is no load quota
  */
 public record InvariantSettings(
         Map<String, RequestClassTerms> requestClasses,
@@ -24,7 +25,7 @@
         double quotaFree,
         double quotaShare,
         long quotaWindow) {
-    /** Reads them from a router's section of a script. */
+    /** Reads the settings from the router section of a script. */
     static InvariantSettings read(ConfigValue router) {
         ConfigValue rules = router.at("rules");
         ConfigValue quota = rules.at("ration");
--- a/testbed/src/main/java/pearladder/testbed/LoadGenerator.java
+++ b/testbed/src/main/java/pearladder/testbed/LoadGenerator.java
@@ -8,29 +8,30 @@
 import pearladder.kserve.RequestOutcome;
 
 /**
- * The clients of a scenario, open loop: each request goes out at its time whether or not earlier ones have ended. A
- * client gives up at its deadline, waits for Retry-After, and retries only what the request class allows. An instance
- * belongs to one thread; a scenario that sends more than one event loop can has several.
+ * The open-loop clients of a scenario: each request is sent at its scheduled time, whether or not earlier ones have
+ * ended. A client abandons a request at its deadline, honors Retry-After, and retries only what the request class
+ * allows. Not thread-safe: each instance is confined to one event loop, and a scenario whose load exceeds one event
+ * loop uses several instances.
  */
 public final class LoadGenerator {
-    /** How a request travels to a router and its response back: sockets, or a simulated network. */
+    /** Carries requests to routers and responses back, over sockets or a simulated network. */
     public interface RequestTransport {
         /** A request that was sent. */
         interface SentRequest {
-            /** Cancels it by closing its connection. */
+            /** Cancels the request by closing its connection. */
             void cancel();
         }
 
-        /** Sends a request; the listener is notified of its end once. */
-        SentRequest send(Request request, ResponseListener heard);
+        /** Sends a request; the listener is notified exactly once, when the request ends. */
+        SentRequest send(Request request, ResponseListener listener);
     }
 
     /**
-     * One attempt of a client as its router gets it.
+     * One attempt of a client, as it is sent to a router.
      *
-     * @param idempotencyKey the idempotency key; empty where there is none
+     * @param idempotencyKey empty if the request has none
      * @param isRetry whether an earlier attempt of the same request was sent
-     * @param timeToDeadline nanoseconds until its deadline
+     * @param timeToDeadline nanoseconds until the deadline of the attempt
      */
     public record Request(
             ClientLoadBalancer.Target target,
@@ -41,70 +42,71 @@
             boolean isRetry,
             long timeToDeadline) {}
 
-    /** Listens for the end of an attempt; one of the two methods is called, once. */
+    /** Listens for the end of an attempt; exactly one of the two methods is called, exactly once. */
     public interface ResponseListener {
         /**
-         * The final answer came.
+         * Handles the final answer.
          *
-         * @param state null where the response names none
-         * @param version of the model; empty where the response names none
-         * @param wait Retry-After in nanoseconds, or 0
+         * @param outcome outcome of the request; null if the response does not state one
+         * @param version model version; empty if the response does not state one
+         * @param retryAfter Retry-After in nanoseconds, or 0
          */
-        void onAnswer(RequestOutcome state, int status, String version, long wait);
+        void onAnswer(RequestOutcome outcome, int status, String version, long retryAfter);
 
         /**
-         * The attempt ended without a final answer.
+         * Handles the end of an attempt without a final answer.
          *
-         * @param how "unreachable" where nothing was sent, else "cut"
+         * @param how "unreachable" if nothing was sent, otherwise "cut"
          */
         void onNoAnswer(String how);
     }
 
-    /** The notes of observations that no response came for; the checks know the first two. */
+    /** Notes on observations of attempts without a response; the invariant checks match the first two. */
     private static final String UNREACHABLE = ObservedRequest.UNREACHABLE;
 
     private static final String LEFT = ObservedRequest.LEFT;
-    private static final String GAVE_UP = "gave up";
+    private static final String ABANDONED = "gave up";
 
-    /** For how long after its deadline a client listens, only to observe what comes too late. */
+    /** Time after its deadline for which a client still listens, only to observe late answers. */
     private static final long LISTEN_AFTER_DEADLINE_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
-    /** Less time than this is not worth an attempt; also the pause of clients that ignore Retry-After. */
-    private static final long SHORTEST_ATTEMPT_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
-    /** A pause before a retry is multiplied by a random factor from this on, up to it plus the spread. */
-    private static final double LEAST_PAUSE_FACTOR = 0.75;
+    /** Shortest time to the deadline in which an attempt is sent; also the pause of clients that ignore Retry-After. */
+    private static final long MIN_ATTEMPT_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    /** Lower bound of the random factor by which a pause before a retry is multiplied. */
+    private static final double MIN_PAUSE_FACTOR = 0.75;
 
+    /** Width of the range of that factor, above its lower bound. */
     private static final double PAUSE_FACTOR_SPREAD = 0.5;
-    /** Sets the random sequences of the lanes apart from each other and from those of the load and the faults. */
+    /** Separates the random sequences of the lanes from each other and from those of the load and the faults. */
     private static final long SEED_FACTOR = 31;
 
     private static final long SEED_OFFSET = 7;
     private static final long LANE_SEED_STEP = 1_000_003;
 
     private final class PendingRequest {
-        final RequestSource.ScheduledRequest drawn;
+        final RequestSource.ScheduledRequest scheduled;
         final RequestClassTerms terms;
         final long dueAt;
         final String idempotencyKey;
         int attempts;
 
-        PendingRequest(RequestSource.ScheduledRequest drawn) {
-            this.drawn = drawn;
-            this.terms = plan.invariantSettings().requestClasses().get(drawn.requestClass());
-            this.dueAt = startedAt + drawn.dueAfter();
+        PendingRequest(RequestSource.ScheduledRequest scheduled) {
+            this.scheduled = scheduled;
+            this.terms = plan.invariantSettings().requestClasses().get(scheduled.requestClass());
+            this.dueAt = startedAt + scheduled.dueAfter();
             this.idempotencyKey =
-                    terms.idempotency() == RequestClassTerms.Idempotency.FINGERPRINTED ? "m" + drawn.number() : "";
+                    terms.idempotency() == RequestClassTerms.Idempotency.FINGERPRINTED ? "m" + scheduled.number() : "";
         }
 
         long elapsed() {
             return time.now() - dueAt;
         }
 
-        /** Nanoseconds from a moment until its deadline. */
+        /** Returns the nanoseconds from a point in time until the deadline of the request. */
         long remaining(long now) {
             return dueAt + terms.deadline() - now;
         }
 
-        /** Whether its class allows a retry after an attempt that may have taken effect. */
+        /** Returns whether the request class allows a retry after an attempt that may have taken effect. */
         boolean mayRetry() {
             return switch (terms.idempotency()) {
                 case RETRIABLE -> true;
@@ -116,7 +118,7 @@
     }
 
     private final Timeline time;
-    private final RequestTransport wire;
+    private final RequestTransport transport;
     private final ScenarioPlan plan;
     private final ClientLoadBalancer loadBalancer;
     private final LoadStatistics statistics;
@@ -132,12 +134,12 @@
     /**
      * Creates a generator.
      *
-     * @param lane its number among those of the scenario, which sets its random sequence apart
-     * @param source what it sends
+     * @param lane index among the generators of the scenario; gives each its own random sequence
+     * @param source the requests to send
      */
     public LoadGenerator(
             Timeline time,
-            RequestTransport wire,
+            RequestTransport transport,
             ScenarioPlan plan,
             int lane,
             RequestSource source,
@@ -145,7 +147,7 @@
             LoadStatistics statistics,
             Consumer<Observation> observations) {
         this.time = time;
-        this.wire = wire;
+        this.transport = transport;
         this.plan = plan;
         this.loadBalancer = loadBalancer;
         this.statistics = statistics;
@@ -157,7 +159,7 @@
     /**
      * Sends all requests of the source.
      *
-     * @param startAt of the scenario, on the timeline's clock
+     * @param startAt start of the scenario, on the timeline's clock
      * @param onEnd runs when the last request has ended
      */
     public void start(long startAt, Runnable onEnd) {
@@ -167,7 +169,7 @@
         sendDue();
     }
 
-    /** Whether clients retry at once, whatever Retry-After says. */
+    /** Sets whether clients ignore Retry-After and retry at once. */
     public void ignoreRetryAfter(boolean on) {
         ignoresRetryAfter = on;
     }
@@ -190,23 +192,23 @@
     private void sendAttempt(PendingRequest pendingRequest) {
         long now = time.now();
         long remaining = pendingRequest.remaining(now);
-        if (remaining < SHORTEST_ATTEMPT_NANOS) {
+        if (remaining < MIN_ATTEMPT_NANOS) {
             end(pendingRequest, LoadStatistics.End.UNANSWERED);
             return;
         }
-        RequestSource.ScheduledRequest drawn = pendingRequest.drawn;
-        long patience = Math.min(remaining, Math.round(pendingRequest.terms.deadline() * drawn.patience()));
-        ClientLoadBalancer.Target target = loadBalancer.next(drawn.zone(), now);
-        String id = "c" + drawn.number() + "." + pendingRequest.attempts++;
+        RequestSource.ScheduledRequest scheduled = pendingRequest.scheduled;
+        long timeToDeadline = Math.min(remaining, Math.round(pendingRequest.terms.deadline() * scheduled.patience()));
+        ClientLoadBalancer.Target target = loadBalancer.next(scheduled.zone(), now);
+        String id = "c" + scheduled.number() + "." + pendingRequest.attempts++;
         statistics.recordAttempt();
         Request request = new Request(
                 target,
                 id,
-                drawn,
+                scheduled,
                 pendingRequest.terms,
                 pendingRequest.idempotencyKey,
                 pendingRequest.attempts > 1,
-                patience);
+                timeToDeadline);
         new Attempt(pendingRequest, request).send(now);
     }
 
@@ -228,21 +230,21 @@
         }
 
         void send(long now) {
-            boolean leaves = random.nextDouble() < plan.clients().cancelShare();
-            long listens = leaves
+            boolean clientCancels = random.nextDouble() < plan.clients().cancelShare();
+            long listenNanos = clientCancels
                     ? Math.round(request.timeToDeadline() * random.nextDouble())
                     : request.timeToDeadline() + LISTEN_AFTER_DEADLINE_NANOS;
-            String model = pendingRequest.drawn.model();
+            String model = pendingRequest.scheduled.model();
             observe(now, Observation.SENT, model, pendingRequest.terms.name(), request.timeToDeadline());
-            timeout = time.after(listens, () -> onNoAnswer(leaves ? LEFT : GAVE_UP));
-            RequestTransport.SentRequest out = wire.send(request, this);
+            timeout = time.after(listenNanos, () -> onNoAnswer(clientCancels ? LEFT : ABANDONED));
+            RequestTransport.SentRequest out = transport.send(request, this);
             if (ended) {
                 out.cancel();
             }
             sent = out;
         }
 
-        /** Ends the attempt; false where it has ended before. */
+        /** Marks the attempt as ended; returns false if it had already ended. */
         private boolean markEnded() {
             if (ended) {
                 return false;
@@ -253,20 +255,20 @@
         }
 
         @Override
-        public void onAnswer(RequestOutcome state, int status, String version, long wait) {
+        public void onAnswer(RequestOutcome outcome, int status, String version, long retryAfter) {
             if (!markEnded()) {
                 return;
             }
-            String model = pendingRequest.drawn.model() + (version.isEmpty() ? "" : "@" + version);
-            String note = state == null ? "status " + status : state.code();
+            String model = pendingRequest.scheduled.model() + (version.isEmpty() ? "" : "@" + version);
+            String note = outcome == null ? "status " + status : outcome.code();
             observe(time.now(), Observation.ANSWERED, model, note, 0);
-            if (state == RequestOutcome.SETTLED) {
+            if (outcome == RequestOutcome.SETTLED) {
                 end(pendingRequest, endOfSuccess(pendingRequest));
                 return;
             }
-            boolean rejected = state == RequestOutcome.DISMISSED;
+            boolean rejected = outcome == RequestOutcome.DISMISSED;
             boolean retryAllowed = rejected || pendingRequest.mayRetry();
-            if (!retryAllowed || !retry(pendingRequest, ignoresRetryAfter ? 0 : wait)) {
+            if (!retryAllowed || !retry(pendingRequest, ignoresRetryAfter ? 0 : retryAfter)) {
                 end(pendingRequest, rejected ? LoadStatistics.End.DISMISSED : LoadStatistics.End.TERMINATED);
             }
         }
@@ -279,7 +281,7 @@
             if (sent != null) {
                 sent.cancel();
             }
-            observe(time.now(), Observation.UNANSWERED, pendingRequest.drawn.model(), how, 0);
+            observe(time.now(), Observation.UNANSWERED, pendingRequest.scheduled.model(), how, 0);
             boolean retryAllowed = !how.equals(LEFT) && (how.equals(UNREACHABLE) || pendingRequest.mayRetry());
             if (!retryAllowed || !retry(pendingRequest, 0)) {
                 end(pendingRequest, LoadStatistics.End.UNANSWERED);
@@ -295,11 +297,11 @@
         return elapsed <= pendingRequest.terms.deadline() ? LoadStatistics.End.LATE : LoadStatistics.End.UNANSWERED;
     }
 
-    /** Retries after Retry-After or the client's pause, whichever is longer; false where no attempt is left. */
+    /** Retries after Retry-After or the client's pause, whichever is longer; returns false if no attempt is left. */
     private boolean retry(PendingRequest pendingRequest, long retryAfter) {
-        long pause = ignoresRetryAfter ? SHORTEST_ATTEMPT_NANOS : randomPause(retryAfter);
+        long pause = ignoresRetryAfter ? MIN_ATTEMPT_NANOS : randomPause(retryAfter);
         long remaining = pendingRequest.remaining(time.now()) - pause;
-        if (pendingRequest.attempts >= plan.clients().maxAttempts() || remaining < SHORTEST_ATTEMPT_NANOS) {
+        if (pendingRequest.attempts >= plan.clients().maxAttempts() || remaining < MIN_ATTEMPT_NANOS) {
             return false;
         }
         time.after(pause, () -> sendAttempt(pendingRequest));
@@ -307,13 +309,14 @@
     }
 
     private long randomPause(long retryAfter) {
-        double factor = LEAST_PAUSE_FACTOR + PAUSE_FACTOR_SPREAD * random.nextDouble();
+        double factor = MIN_PAUSE_FACTOR + PAUSE_FACTOR_SPREAD * random.nextDouble();
         return Math.round(Math.max(retryAfter, plan.clients().retryPause()) * factor);
     }
 
     private void end(PendingRequest pendingRequest, LoadStatistics.End how) {
-        RequestSource.ScheduledRequest drawn = pendingRequest.drawn;
-        statistics.recordEnd(pendingRequest.terms, drawn.tenant(), drawn.dueAfter(), pendingRequest.elapsed(), how);
+        RequestSource.ScheduledRequest scheduled = pendingRequest.scheduled;
+        statistics.recordEnd(
+                pendingRequest.terms, scheduled.tenant(), scheduled.dueAfter(), pendingRequest.elapsed(), how);
         pending--;
         if (next == null && pending == 0) {
             onEnd.run();
--- a/testbed/src/main/java/pearladder/testbed/LoadGeneratorPool.java
+++ b/testbed/src/main/java/pearladder/testbed/LoadGeneratorPool.java
@@ -47,12 +47,12 @@
         }
     }
 
-    /** Sends requests of no weight to the routers and waits for their end, so that class loading is not measured. */
+    /** Sends health checks to the routers and waits for their end, so that class loading is not measured. */
     void warmUp(List<Integer> routerPorts) throws InterruptedException {
         CountDownLatch warm = new CountDownLatch(lanes.size());
         for (Lane lane : lanes) {
             lane.vertx().runOnContext(run -> {
-                lane.driver().watch(observations);
+                lane.driver().reportPauses(observations);
                 lane.driver().warmUp(routerPorts).onComplete(end -> warm.countDown());
             });
         }
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Begins to send.
+     * Starts sending requests.
      *
-     * @param startAt of the scenario, on the clock of {@link System#nanoTime}
+     * @param startAt start of the scenario, on the clock of {@link System#nanoTime}
      */
     void start(long startAt) {
         for (Lane lane : lanes) {
@@ -71,12 +71,12 @@
         lanes.get(0).vertx().setPeriodic(FLUSH_INTERVAL_MILLIS, tick -> observations.flush());
     }
 
-    /** Waits for the end of all requests; false where they have not ended after so many seconds. */
-    boolean awaitEnd(long seconds) throws InterruptedException {
-        return finished.await(seconds, TimeUnit.SECONDS);
+    /** Waits for the end of all requests; returns false if they have not ended within the given number of seconds. */
+    boolean awaitEnd(long timeoutSeconds) throws InterruptedException {
+        return finished.await(timeoutSeconds, TimeUnit.SECONDS);
     }
 
-    /** Whether clients retry at once, whatever Retry-After says. */
+    /** Sets whether clients ignore Retry-After and retry at once. */
     void ignoreRetryAfter(boolean ignored) {
         for (Lane lane : lanes) {
             lane.vertx().runOnContext(run -> lane.generator().ignoreRetryAfter(ignored));
--- a/testbed/src/main/java/pearladder/testbed/LoadQuotaCheck.java
+++ b/testbed/src/main/java/pearladder/testbed/LoadQuotaCheck.java
@@ -10,8 +10,8 @@
 import pearladder.testbed.InvariantChecker.Invariant;
 
 /**
- * Checks that each router requests no more loads within a window than a free number and a share of the requests that
- * clients sent to it. The slack narrows the window of the loads and widens that of the requests.
+ * Checks the load quota: within a window, each router may request a fixed number of loads plus a share of the requests
+ * that clients sent to it. The slack shortens the window of the loads and lengthens that of the requests.
  */
 final class LoadQuotaCheck {
     private final InvariantSettings settings;
@@ -23,7 +23,7 @@
     /**
      * Creates a check.
      *
-     * @param slack in nanoseconds
+     * @param slack tolerance in nanoseconds
      */
     LoadQuotaCheck(InvariantSettings settings, long slack, CheckFindings findings) {
         this.settings = settings;
@@ -56,23 +56,23 @@
         }
     }
 
-    private void checkLoad(Observation ordered) {
+    private void checkLoad(Observation loadRequest) {
         findings.recordChecked(Invariant.LOAD_QUOTA_KEPT);
-        Deque<Long> loads = times(loadTimes, ordered.router());
-        Deque<Long> requests = times(requestTimes, ordered.router());
-        loads.add(ordered.at());
-        while (ordered.at() - loads.peek() > settings.quotaWindow() - slack) {
+        Deque<Long> loads = times(loadTimes, loadRequest.router());
+        Deque<Long> requests = times(requestTimes, loadRequest.router());
+        loads.add(loadRequest.at());
+        while (loadRequest.at() - loads.peek() > settings.quotaWindow() - slack) {
             loads.poll();
         }
-        while (!requests.isEmpty() && ordered.at() - requests.peek() > settings.quotaWindow() + slack) {
+        while (!requests.isEmpty() && loadRequest.at() - requests.peek() > settings.quotaWindow() + slack) {
             requests.poll();
         }
         double quota = settings.quotaFree() + settings.quotaShare() * requests.size();
         if (loads.size() > quota) {
             findings.recordViolation(
                     Invariant.LOAD_QUOTA_KEPT,
-                    ordered.at(),
-                    ordered.router() + " gave " + loads.size()
+                    loadRequest.at(),
+                    loadRequest.router() + " gave " + loads.size()
                             + " orders to load within the window; its calls allow "
                             + String.format(Locale.ROOT, "%.1f", quota));
         }
--- a/testbed/src/main/java/pearladder/testbed/LoadStatistics.java
+++ b/testbed/src/main/java/pearladder/testbed/LoadStatistics.java
@@ -11,12 +11,12 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How the requests of a scenario ended: the priority weight asked for and earned, and latencies from the moment at
- * which a request was due; in all, by request class, by tenant and by ten seconds. Thread-safe: all load generators
- * share one.
+ * Statistics of how the requests of a scenario ended: offered and earned priority weight, and latencies measured from
+ * the time at which a request was due; in total, by request class, by tenant and by window of ten seconds.
+ * Thread-safe: all load generators share one instance.
  */
 public final class LoadStatistics {
-    /** How a request ended for its client, all its attempts together. */
+    /** The result of a request for its client, over all its attempts. */
     public enum End {
         /** Succeeded within its latency objective. */
         SETTLED,
@@ -30,26 +30,26 @@
         UNANSWERED
     }
 
-    /** Length of the windows of time by which requests are counted, in seconds. */
+    /** Length of the time windows by which requests are counted. */
     static final long WINDOW_SECONDS = 10;
 
     static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(WINDOW_SECONDS);
 
-    /** Longer times are recorded as this. */
-    private static final long LONGEST_RECORDED_NANOS = TimeUnit.SECONDS.toNanos(60);
+    /** Upper bound of the histograms; longer times are recorded as this value. */
+    private static final long MAX_RECORDED_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** Counts of some of the requests. */
+    /** Statistics of one group of requests. */
     private static final class Group {
-        private double weightAsked;
+        private double weightOffered;
         private double weightEarned;
         private final long[] ends = new long[End.values().length];
         private final Histogram latencies = histogram();
 
-        void add(End end, double asked, double earned, long latencyNanos) {
-            weightAsked += asked;
+        void add(End end, double offered, double earned, long latencyNanos) {
+            weightOffered += offered;
             weightEarned += earned;
             ends[end.ordinal()]++;
             if (end == End.SETTLED || end == End.LATE) {
@@ -70,7 +70,7 @@
         }
 
         double earnedShare() {
-            return weightAsked == 0 ? 1 : weightEarned / weightAsked;
+            return weightOffered == 0 ? 1 : weightEarned / weightOffered;
         }
 
         String row(String name) {
@@ -93,7 +93,7 @@
 
     private final Map<String, Group> requestClasses = new TreeMap<>();
     private final Map<String, Group> tenants = new TreeMap<>();
-    /** By the number of the window. */
+    /** Statistics by the index of the window. */
     private final TreeMap<Long, Group> windows = new TreeMap<>();
 
     private final Group all = new Group();
@@ -101,16 +101,16 @@
     private long attempts;
 
     private static Histogram histogram() {
-        return new Histogram(LONGEST_RECORDED_NANOS, SIGNIFICANT_DIGITS);
+        return new Histogram(MAX_RECORDED_NANOS, SIGNIFICANT_DIGITS);
     }
 
-    private static long recordable(long nanos) {
-        return Math.max(0, Math.min(LONGEST_RECORDED_NANOS, nanos));
+    private static long clampToRecordable(long nanos) {
+        return Math.max(0, Math.min(MAX_RECORDED_NANOS, nanos));
     }
 
-    /** Counts a request that the generator sent so late. */
-    public synchronized void recordSendDelay(long lateNanos) {
-        generatorLag.recordValue(recordable(lateNanos));
+    /** Records how late the generator sent a request. */
+    public synchronized void recordSendDelay(long delayNanos) {
+        generatorLag.recordValue(clampToRecordable(delayNanos));
     }
 
     /** Counts an attempt. */
@@ -121,13 +121,13 @@
     /**
      * Counts a request that has ended.
      *
-     * @param tenant empty where it has none
+     * @param tenant empty if the request has none
      * @param due nanoseconds from the start of the scenario
-     * @param took nanoseconds since it was due
+     * @param elapsed nanoseconds since it was due
      */
-    synchronized void recordEnd(RequestClassTerms terms, String tenant, long due, long took, End end) {
+    synchronized void recordEnd(RequestClassTerms terms, String tenant, long due, long elapsed, End end) {
         double earned = earned(terms, end);
-        long latency = recordable(took);
+        long latency = clampToRecordable(elapsed);
         for (Group group : groupsOf(terms.name(), tenant, due)) {
             group.add(end, terms.priorityWeight(), earned, latency);
         }
@@ -152,33 +152,33 @@
         return groups;
     }
 
-    /** How many requests have ended. */
+    /** Returns the number of requests that have ended. */
     public synchronized long requests() {
         return all.count();
     }
 
-    /** The share of the priority weight asked for that was earned, 0 to 1. */
+    /** Returns the share of the offered priority weight that was earned, from 0 to 1. */
     public synchronized double credit() {
         return all.earnedShare();
     }
 
-    /** The least share of the priority weight earned in a window. */
+    /** Returns the smallest share of the priority weight earned in any window. */
     public synchronized double leastWindowCredit() {
         return windows.values().stream()
-                .filter(window -> window.weightAsked > 0)
+                .filter(window -> window.weightOffered > 0)
                 .mapToDouble(Group::earnedShare)
                 .min()
                 .orElse(1);
     }
 
-    /** The share of the priority weight earned in each window, by the second at which it begins. */
+    /** Returns the share of the priority weight earned in each window, by the second at which the window begins. */
     synchronized Map<Long, Double> creditByWindow() {
         Map<Long, Double> shares = new LinkedHashMap<>();
         windows.forEach((number, window) -> shares.put(number * WINDOW_SECONDS, window.earnedShare()));
         return shares;
     }
 
-    /** How many requests ended in each way, by its word in lower case. */
+    /** Returns the number of requests by the lower-case name of their {@link End}. */
     public synchronized Map<String, Long> countsByEnd() {
         Map<String, Long> ends = new LinkedHashMap<>();
         for (End end : End.values()) {
@@ -187,22 +187,22 @@
         return ends;
     }
 
-    /** A percentile (0 to 100) of the latencies of requests that succeeded, from the moment at which they were due. */
+    /** Returns a percentile (0 to 100) of the latencies of requests that succeeded, measured from their due time. */
     public synchronized double latencyMillis(double percentile) {
         return all.latencies.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
     }
 
-    /** A percentile (0 to 100) of how late the generator sent. */
+    /** Returns a percentile (0 to 100) of the delays with which the generator sent requests. */
     synchronized double generatorLagMillis(double percentile) {
         return generatorLag.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
     }
 
-    /** How many attempts were sent. */
+    /** Returns the number of attempts sent. */
     public synchronized long attempts() {
         return attempts;
     }
 
-    /** A table for people: a row for each group and for the worst window. */
+    /** Returns a table to print, with a row for each group and for the worst window. */
     public synchronized List<String> table() {
         List<String> rows = new ArrayList<>();
         rows.add(header());
@@ -211,7 +211,7 @@
         tenants.forEach((name, group) -> rows.add(group.row("account " + name)));
         windows.entrySet().stream()
                 .min(Comparator.comparingDouble(
-                        window -> window.getValue().weightEarned / window.getValue().weightAsked))
+                        window -> window.getValue().weightEarned / window.getValue().weightOffered))
                 .ifPresent(worst ->
                         rows.add(worst.getValue().row("worst 10 s, from " + worst.getKey() * WINDOW_SECONDS + " s")));
         return rows;
--- a/testbed/src/main/java/pearladder/testbed/LoopbackHttpClient.java
+++ b/testbed/src/main/java/pearladder/testbed/LoopbackHttpClient.java
@@ -23,13 +23,13 @@
 
     LoopbackHttpClient() {}
 
-    /** Gets a path and its query; fails where there is no response within the timeout. */
+    /** Sends a GET request for a path with its query; fails if there is no response within the timeout. */
     HttpResponse<String> get(int port, String path, Duration timeout) throws IOException, InterruptedException {
         HttpRequest request = request(port, path, timeout).build();
         return client.send(request, HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Posts a text; the future fails where there is no response within the timeout. */
+    /** Sends a POST request with a text body; the future fails if there is no response within the timeout. */
     CompletableFuture<HttpResponse<String>> post(int port, String path, String body, Duration timeout) {
         HttpRequest request = request(port, path, timeout)
                 .POST(HttpRequest.BodyPublishers.ofString(body))
