--- a/testbed/src/main/java/pearladder/testbed/growth/CommandReader.java
+++ b/testbed/src/main/java/pearladder/testbed/growth/CommandReader.java
@@ -12,11 +12,11 @@
     private byte[] unread = {};
     private int position;
 
-    /** The commands that are complete with these bytes. */
+    /** Returns the commands that these bytes complete; keeps the bytes of an incomplete command. */
     List<List<byte[]>> read(ByteBuffer input) {
-        int kept = unread.length;
-        unread = Arrays.copyOf(unread, kept + input.remaining());
-        input.get(unread, kept, unread.length - kept);
+        int unreadLength = unread.length;
+        unread = Arrays.copyOf(unread, unreadLength + input.remaining());
+        input.get(unread, unreadLength, unread.length - unreadLength);
         List<List<byte[]>> commands = new ArrayList<>();
         position = 0;
         int consumed = 0;
@@ -29,7 +29,7 @@
         return commands;
     }
 
-    /** The next array; null where it is not complete. */
+    /** Returns the next array, or null if it is incomplete. */
     private List<byte[]> readArray() {
         int length = readNumber('*');
         List<byte[]> array = new ArrayList<>();
@@ -44,12 +44,13 @@
         return length < 0 ? null : array;
     }
 
-    /** The number on a line that starts with the mark; -1 where the line is not complete. */
-    private int readNumber(char mark) {
+    /** Returns the number on a line that starts with the given type byte, or -1 if the line is incomplete. */
+    private int readNumber(char typeByte) {
         for (int end = position; end + 1 < unread.length; end++) {
             if (unread[end] == '\r') {
-                if (unread[position] != mark) {
-                    throw new IllegalStateException("the router wrote " + (char) unread[position] + " for " + mark);
+                if (unread[position] != typeByte) {
+                    throw new IllegalStateException(
+                            "RESP type byte " + (char) unread[position] + " received, expected " + typeByte);
                 }
                 String digits = new String(unread, position + 1, end - position - 1, StandardCharsets.ISO_8859_1);
                 position = end + 2;
@@ -59,7 +60,7 @@
         return -1;
     }
 
-    /** The bytes of an array. */
+    /** Encodes an array of bulk strings. */
     static byte[] array(byte[]... values) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(("*" + values.length + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
--- a/testbed/src/main/java/pearladder/testbed/growth/DeployedProcess.java
+++ b/testbed/src/main/java/pearladder/testbed/growth/DeployedProcess.java
@@ -6,29 +6,29 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A router, started by {@code run} of the deploy file on half a core, with what the system says of its use. */
+/** A router process, started by {@code run} of the deploy file on half a core, with its resource use. */
 final class DeployedProcess implements AutoCloseable {
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"$");
     private static final Pattern PEAK_MEMORY = Pattern.compile("VmHWM:\\s+([0-9]+) kB");
     private static final Pattern STALL = Pattern.compile("event loop stalled for ([0-9]+) ms");
-    /** User and system time in {@code /proc/PID/stat}, counted behind the name of the program. */
+    /** Indexes of user and system time in {@code /proc/PID/stat}, counted after the program name. */
     private static final int USER_TIME = 11;
 
     private static final int SYSTEM_TIME = 12;
     private static final double TICKS_PER_SECOND = 100;
     private static final int KB_PER_MB = 1024;
-    /** Two busy programs on one core have half of it each. */
+    /** Both processes are pinned to this core; two busy processes get half of it each. */
     private static final String CORE = "0";
 
     private final Process process;
-    private final Process otherProgram;
+    private final Process competingProcess;
     private final Path log;
 
     /**
      * Starts a router.
      *
      * @param root the repository, built
-     * @param configuration of the router
+     * @param configuration configuration file of the router
      * @param log receives its output
      */
     DeployedProcess(Path root, Path configuration, Path log) throws IOException {
@@ -42,39 +42,39 @@
         builder.environment()
                 .put("ROUTER_CONFIG", configuration.toAbsolutePath().toString());
         process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
-        otherProgram = new ProcessBuilder("taskset", "-c", CORE, "sh", "-c", "while :; do :; done").start();
+        competingProcess = new ProcessBuilder("taskset", "-c", CORE, "sh", "-c", "while :; do :; done").start();
     }
 
     boolean isAlive() {
         return process.isAlive();
     }
 
-    private Path system(String file) {
+    private Path procFile(String file) {
         return Path.of("/proc", Long.toString(process.pid()), file);
     }
 
     double cpuSeconds() throws IOException {
-        String stat = Files.readString(system("stat"));
+        String stat = Files.readString(procFile("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         return (Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME])) / TICKS_PER_SECOND;
     }
 
     long peakMemoryMb() throws IOException {
-        Matcher peak = PEAK_MEMORY.matcher(Files.readString(system("status")));
+        Matcher peak = PEAK_MEMORY.matcher(Files.readString(procFile("status")));
         return peak.find() ? Long.parseLong(peak.group(1)) / KB_PER_MB : 0;
     }
 
     int descriptors() {
-        String[] open = system("fd").toFile().list();
+        String[] open = procFile("fd").toFile().list();
         return open == null ? 0 : open.length;
     }
 
-    /** The length of the log so far. */
+    /** Returns the current length of the log. */
     int logLength() throws IOException {
         return Files.readString(log).length();
     }
 
-    /** The longest stall that was logged behind a position of the log; zero where none was. */
+    /** Returns the longest stall logged after a position in the log, or zero if there is none. */
     long longestStallMillis(int from) throws IOException {
         return longest(STALL, Files.readString(log).substring(from));
     }
@@ -87,7 +87,7 @@
                 .orElse(0);
     }
 
-    /** Asks the router to stop and waits for its end. */
+    /** Terminates the router and waits until it exits. */
     void stop() throws InterruptedException {
         process.destroy();
         process.waitFor();
@@ -100,6 +100,6 @@
     @Override
     public void close() {
         process.destroyForcibly();
-        otherProgram.destroyForcibly();
+        competingProcess.destroyForcibly();
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/growth/FleetGrowth.java
+++ b/testbed/src/main/java/pearladder/testbed/growth/FleetGrowth.java
@@ -16,8 +16,8 @@
     private static final long READY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final int REQUESTS_PER_SECOND = 60;
     private static final long CHANGE_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
-    /** One in so many workers begins to drain or comes back with each change. */
-    private static final int CHANGED_DIVISOR = 50;
+    /** Each change starts to drain, or returns to service, one worker in this many. */
+    private static final int WORKERS_PER_CHANGED_WORKER = 50;
 
     private static final int MEMORY_MB = 152;
     private static final long SETTLE_MILLIS = 1200;
@@ -31,9 +31,9 @@
      * Prepares a measurement.
      *
      * @param root the repository, built
-     * @param folder for configurations and logs
-     * @param seconds of traffic for each size
-     * @param decisionMicros what a decision costs with so many workers, in microseconds
+     * @param folder receives configurations and logs
+     * @param seconds duration of the traffic for each fleet size
+     * @param decisionMicros time of a routing decision in microseconds, by number of workers
      */
     public FleetGrowth(Path root, Path folder, int seconds, IntToDoubleFunction decisionMicros) {
         this.root = root;
@@ -43,15 +43,15 @@
     }
 
     /**
-     * Measures one size of fleet.
+     * Measures one fleet size.
      *
-     * @throws IOException where the router does not get ready, with its log
+     * @throws IOException if the router does not become ready; the message contains its log
      */
     public GrowthRow measure(int size) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         try (StandInWorkers workers = new StandInWorkers(size);
                 StandInDiscovery discovery = new StandInDiscovery(members(workers, size, "in_service"))) {
-            // free once the workers have theirs
+            // chosen after the workers have bound their ports, so that they can't take it
             int port = freePort();
             Path configuration = writeConfiguration(size, port, discovery);
             long startedAt = System.nanoTime();
@@ -61,12 +61,12 @@
                     throw new IOException("the router with " + size + " workers is not ready:\n" + router.log());
                 }
                 long readyMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
-                return underTraffic(size, readyMillis, port, router, workers, discovery);
+                return measureUnderTraffic(size, readyMillis, port, router, workers, discovery);
             }
         }
     }
 
-    private GrowthRow underTraffic(
+    private GrowthRow measureUnderTraffic(
             int size,
             long readyMillis,
             int port,
@@ -86,7 +86,7 @@
                 clients.send();
                 if (System.nanoTime() > nextChange) {
                     nextChange += CHANGE_PERIOD_NANOS;
-                    discovery.tell(change(workers, size, changes++));
+                    discovery.publishChanges(change(workers, size, changes++));
                     descriptors = Math.max(descriptors, router.descriptors());
                 }
             }
@@ -109,9 +109,9 @@
         }
     }
 
-    /** By turns a part of the workers drains and comes back. */
+    /** Returns a change that alternately drains some of the workers and returns them to service. */
     private static List<String> change(StandInWorkers workers, int size, int number) {
-        int count = Math.max(1, size / CHANGED_DIVISOR);
+        int count = Math.max(1, size / WORKERS_PER_CHANGED_WORKER);
         int first = number / 2 * count % size;
         String state = number % 2 == 0 ? "terminating" : "in_service";
         return IntStream.range(first, Math.min(size, first + count))
--- a/testbed/src/main/java/pearladder/testbed/growth/GrowthRow.java
+++ b/testbed/src/main/java/pearladder/testbed/growth/GrowthRow.java
@@ -3,18 +3,18 @@
 import java.util.Locale;
 
 /**
- * What a router needed with one size of fleet.
+ * Resource use of a router with one fleet size.
  *
- * @param workers workers of the fleet
- * @param readyMillis from the start of the process until it answered that it is ready
- * @param cpuSeconds of the process from its start to the end of the traffic
- * @param peakMemoryMb resident memory at its highest
- * @param descriptors open file descriptors at their highest
- * @param connections made to workers
- * @param listKilobytes of discovery's responses while it told changes
- * @param servedShare of the requests
- * @param longestTurnMillis the longest stall of the event loop under traffic; zero where none was over 100 ms
- * @param decisionMicros mean processor time of a call of the policy, measured apart
+ * @param workers number of workers in the fleet
+ * @param readyMillis time from the start of the process until it reported that it is ready
+ * @param cpuSeconds CPU time of the process from its start to the end of the traffic
+ * @param peakMemoryMb peak resident memory
+ * @param descriptors highest number of open file descriptors
+ * @param connections number of connections made to workers
+ * @param listKilobytes size of discovery's responses while it published changes
+ * @param servedShare share of the requests that were served
+ * @param longestStallMillis longest event-loop stall under traffic; zero if none exceeded 100 ms
+ * @param decisionMicros mean CPU time of a call of the routing policy, measured separately
  */
 public record GrowthRow(
         int workers,
@@ -25,9 +25,9 @@
         int connections,
         long listKilobytes,
         double servedShare,
-        long longestTurnMillis,
+        long longestStallMillis,
         double decisionMicros) {
-    /** The heading of a table of rows. */
+    /** Returns the heading of the table. */
     public static String heading() {
         return String.format(
                 Locale.ROOT,
@@ -44,7 +44,7 @@
                 "us a decision");
     }
 
-    /** The row of a table. */
+    /** Formats this row of the table. */
     public String line() {
         return String.format(
                 Locale.ROOT,
@@ -57,7 +57,7 @@
                 connections,
                 listKilobytes,
                 servedShare,
-                longestTurnMillis,
+                longestStallMillis,
                 decisionMicros);
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/growth/StandInClients.java
+++ b/testbed/src/main/java/pearladder/testbed/growth/StandInClients.java
@@ -19,7 +19,7 @@
     private static final long BUDGET_MILLIS = 1000;
     private static final int MAX_OPEN_REQUESTS = 32;
     private static final long READY_POLL_MILLIS = 20;
-    private static final int READY_ANSWER_MILLIS = 2000;
+    private static final int READY_TIMEOUT_MILLIS = 2000;
 
     private final Socket socket;
     private final AtomicInteger answered = new AtomicInteger();
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Waits until the router answers that it is ready; false where it ends, or is not ready by the deadline.
+     * Waits until the router reports that it is ready; returns false if it exits or is not ready by the deadline.
      *
-     * @param deadlineNanos a {@code nanoTime}
+     * @param deadlineNanos deadline on the clock of {@link System#nanoTime()}
      */
     static boolean awaitReady(int port, BooleanSupplier isAlive, long deadlineNanos) throws InterruptedException {
         while (System.nanoTime() < deadlineNanos && isAlive.getAsBoolean()) {
@@ -52,7 +52,7 @@
     private static boolean isReady(int port) {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
                 MessageUnpacker answers = MessagePack.newDefaultUnpacker(socket.getInputStream())) {
-            socket.setSoTimeout(READY_ANSWER_MILLIS);
+            socket.setSoTimeout(READY_TIMEOUT_MILLIS);
             socket.getOutputStream().write(message(1, "check", Map.of(), null));
             ArrayValue answer = answers.unpackValue().asArrayValue();
             return answer.get(3).asArrayValue().get(0).asBooleanValue().getBoolean();
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Sends a request, unless as many as a connection may have are open. */
+    /** Sends a request, unless the connection has {@link #MAX_OPEN_REQUESTS} open requests. */
     void send() throws IOException {
         int open = sent - answered.get();
         if (open >= MAX_OPEN_REQUESTS) {
--- a/testbed/src/main/java/pearladder/testbed/growth/StandInDiscovery.java
+++ b/testbed/src/main/java/pearladder/testbed/growth/StandInDiscovery.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Tells the list of workers by long polls, and counts the bytes of its responses. */
+/** Serves the list of workers by long polling, and counts the bytes of its responses. */
 final class StandInDiscovery implements AutoCloseable {
     private static final int BACKLOG = 50;
     private static final int HTTP_OK = 200;
@@ -21,7 +21,7 @@
     private final List<String> events = new ArrayList<>();
     private final AtomicLong bytes = new AtomicLong();
 
-    /** @param members the whole list, which is the first event */
+    /** @param members the complete list of workers, published as the first event */
     StandInDiscovery(List<String> members) throws IOException {
         add(true, members);
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
@@ -30,7 +30,7 @@
             thread.setDaemon(true);
             return thread;
         }));
-        server.createContext("/v1/events", this::answer);
+        server.createContext("/v1/events", this::respond);
         server.start();
     }
 
@@ -38,23 +38,23 @@
         return server.getAddress().getPort();
     }
 
-    /** Bytes of the responses so far. */
+    /** Returns the total bytes of the responses so far. */
     long bytes() {
         return bytes.get();
     }
 
-    /** Tells changes. */
-    void tell(List<String> members) {
+    /** Publishes an event with the changed members. */
+    void publishChanges(List<String> members) {
         add(false, members);
     }
 
-    private synchronized void add(boolean whole, List<String> members) {
+    private synchronized void add(boolean full, List<String> members) {
         int number = events.size() + 1;
-        events.add("{\"n\":" + number + ",\"members\":{\"version\":" + number + ",\"full\":" + whole + ",\"servers\":["
+        events.add("{\"n\":" + number + ",\"members\":{\"version\":" + number + ",\"full\":" + full + ",\"servers\":["
                 + String.join(",", members) + "]}}");
     }
 
-    /** The events up to now, as a configuration holds them. */
+    /** Returns the events so far in the format of the router configuration. */
     synchronized String known() {
         return eventsAfter(0);
     }
@@ -69,7 +69,7 @@
         return events.size();
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void respond(HttpExchange exchange) throws IOException {
         String query = exchange.getRequestURI().getQuery();
         int from = Integer.parseInt(query.replaceAll("SUB=([0-9]+).*", "$1"));
         long waitMillis = Long.parseLong(query.replaceAll(".*wait=([0-9]+).*", "$1"));
--- a/testbed/src/main/java/pearladder/testbed/growth/StandInWorkers.java
+++ b/testbed/src/main/java/pearladder/testbed/growth/StandInWorkers.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Many workers, each at an address of its own, on one thread. Each executes a request in a fixed time. */
+/** Many stand-in workers on one thread, each with its own address and a fixed execution time per request. */
 final class StandInWorkers implements AutoCloseable {
     private static final int BACKLOG = 50;
     private static final int READ_BYTES = 64 * 1024;
@@ -41,7 +41,7 @@
         thread.start();
     }
 
-    /** A worker as discovery tells it. */
+    /** Returns a worker in the format of a discovery event. */
     String member(int index, String state) {
         return String.format(
                 "{\"id\":\"s-%08x\",\"addr\":\"127.0.0.1:%d\",\"zone\":\"hall\",\"kind\":\"kind\",\"cell\":1,"
@@ -49,7 +49,7 @@
                 (int) (index * 2_654_435_761L), ports.get(index), state);
     }
 
-    /** The number of connections that were made so far. */
+    /** Returns the number of connections made so far. */
     int connections() {
         return connections;
     }
@@ -60,7 +60,7 @@
                 selector.select(this::onReady, responses.isEmpty() ? 0 : POLL_MILLIS);
                 respond();
             } catch (IOException broken) {
-                throw new IllegalStateException("the stand-in workers can't go on", broken);
+                throw new IllegalStateException("I/O error in the selector loop of the stand-in workers", broken);
             }
         }
     }
