--- a/testbed/src/main/java/pearladder/testbed/ObservedRequest.java
+++ b/testbed/src/main/java/pearladder/testbed/ObservedRequest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import pearladder.emulator.Observation;
 
-/** One request of a client to a router as it was observed: its end at the client and its attempts at the workers. */
+/** One request of a client to a router as it was observed: how it ended at the client, and its attempts at workers. */
 final class ObservedRequest {
     /** Notes of clients on requests that ended without a final answer. */
     static final String UNREACHABLE = "unreachable";
@@ -22,7 +22,7 @@
             this.arrival = arrival;
         }
 
-        /** When it reached the worker, in nanoseconds. */
+        /** Returns when the attempt reached the worker, in nanoseconds. */
         long arrivedAt() {
             return arrival.at();
         }
@@ -31,7 +31,7 @@
             return arrival.worker();
         }
 
-        /** True unless the worker refused it unseen, or answered it from what it remembers. */
+        /** Returns false if the worker refused the attempt, or answered it from a retained idempotency key. */
         boolean mayHaveRun() {
             return !refused;
         }
@@ -51,7 +51,7 @@
         this.sent = sent;
     }
 
-    /** All requests that clients sent, by their id and in the order in which they were sent. */
+    /** Returns all requests that clients sent, keyed by request ID, in the order in which they were sent. */
     static Map<String, ObservedRequest> of(List<Observation> inOrder) {
         Map<String, ObservedRequest> requests = new LinkedHashMap<>();
         for (Observation seen : inOrder) {
@@ -99,19 +99,19 @@
         return sent.at();
     }
 
-    /** When the client's time for it was up, in nanoseconds. */
+    /** Returns the client's deadline for the request, in nanoseconds. */
     long deadline() {
         return sent.at() + (long) sent.value();
     }
 
-    /** What the client saw last of it; null where it saw nothing. */
+    /** Returns the client's last observation of how the request ended, or null if there is none. */
     Observation end() {
         return end;
     }
 
-    /** Whether it ended without a final answer, in this way. */
-    boolean endedUnanswered(String how) {
-        return isUnanswered() && end.note().equals(how);
+    /** Returns whether the request ended without a final answer and with the given note. */
+    boolean endedUnanswered(String note) {
+        return isUnanswered() && end.note().equals(note);
     }
 
     boolean isUnanswered() {
@@ -122,7 +122,7 @@
         return ends > 1 || answeredAgain;
     }
 
-    /** Its attempts in the order in which they reached the workers. */
+    /** Returns the attempts in the order in which they reached the workers. */
     List<Attempt> attempts() {
         return attempts;
     }
--- a/testbed/src/main/java/pearladder/testbed/PassThrough.java
+++ b/testbed/src/main/java/pearladder/testbed/PassThrough.java
@@ -13,8 +13,9 @@
 import java.util.List;
 
 /**
- * A bare proxy against which the router is measured: buffers each request, forwards it to its targets round robin, and
- * returns the buffered response. One event loop; no decisions, no discovery, no timeouts.
+ * A minimal proxy that serves as the baseline for router measurements: buffers each request, forwards it to its targets
+ * round robin, and returns the buffered response. Uses one event loop and has no routing decisions, discovery or
+ * timeouts.
  */
 public final class PassThrough {
     private static final String HOST = "127.0.0.1";
@@ -23,7 +24,7 @@
 
     private final HttpClient client;
     private final List<Integer> targets;
-    private int turn;
+    private int nextTarget;
 
     private PassThrough(Vertx vertx, List<Integer> targets) {
         this.targets = targets;
@@ -32,10 +33,10 @@
     }
 
     /**
-     * Starts a proxy, which runs until the process ends.
+     * Starts a proxy that runs until the process ends.
      *
-     * @param targets ports on loopback
-     * @return its port
+     * @param targets loopback ports of the targets
+     * @return the port on which the proxy listens
      */
     public static int start(List<Integer> targets) {
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
@@ -53,13 +54,13 @@
     private void forward(HttpServerRequest request) {
         request.body()
                 .compose(body -> client.request(
-                                HttpMethod.POST, targets.get(turn++ % targets.size()), HOST, request.uri())
+                                HttpMethod.POST, targets.get(nextTarget++ % targets.size()), HOST, request.uri())
                         .compose((HttpClientRequest forwarded) -> forwarded.send(body)))
                 .compose(response -> response.body().map(body -> {
                     request.response().setStatusCode(response.statusCode()).end(body);
                     return null;
                 }))
                 .onFailure(
-                        broken -> request.response().setStatusCode(BAD_GATEWAY).end());
+                        failure -> request.response().setStatusCode(BAD_GATEWAY).end());
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/QueueCost.java
+++ b/testbed/src/main/java/pearladder/testbed/QueueCost.java
@@ -8,19 +8,20 @@
 import pearladder.emulator.VirtualTimeline;
 
 /**
- * Measures what an event costs in the event queue of simulations, against a calendar queue (R. Brown, Calendar queues,
- * CACM 31(10), 1988). The hold model: each event that runs schedules one more after an exponential span.
+ * Compares the time per event of the simulation event queue with that of a calendar queue (R. Brown, Calendar queues,
+ * CACM 31(10), 1988). Uses the hold model: each executed event schedules another after an exponentially distributed
+ * delay.
  */
 public final class QueueCost {
     private static final int EVENTS = 400_000;
-    private static final int[] SIZES = {1_000, 30_000, 1_000_000};
-    private static final double MEAN_SPAN_NANOS = 1e9;
-    /** Events that a step of the heap's clock runs on the mean. */
+    private static final int[] QUEUE_SIZES = {1_000, 30_000, 1_000_000};
+    private static final double MEAN_DELAY_NANOS = 1e9;
+    /** Mean number of events executed in each step of the heap's clock. */
     private static final int EVENTS_PER_STEP = 1000;
 
     /**
-     * A calendar queue: buckets ("days") of a fixed width in a ring; the width is set for a few events in each, from
-     * the mean span and the size.
+     * A calendar queue: a ring of buckets ("days") of fixed width. The width is derived from the mean delay and the
+     * queue size, so that each bucket holds a few events.
      */
     private static final class Calendar {
         private final List<List<long[]>> days;
@@ -28,12 +29,12 @@
         private long day;
         private int size;
 
-        Calendar(int events, double meanSpan) {
+        Calendar(int events, double meanDelayNanos) {
             days = new ArrayList<>();
             for (int i = 0; i < Integer.highestOneBit(Math.max(2, events)); i++) {
                 days.add(new ArrayList<>());
             }
-            width = Math.max(1, Math.round(3 * meanSpan / events));
+            width = Math.max(1, Math.round(3 * meanDelayNanos / events));
         }
 
         void add(long at) {
@@ -60,10 +61,10 @@
 
     private QueueCost() {}
 
-    /** Measures both queues in turns; a line for each size with nanoseconds an event, medians over the rounds. */
+    /** Measures both queues alternately; returns one line per queue size, with the median nanoseconds per event. */
     public static List<String> run(int rounds) {
         List<String> lines = new ArrayList<>();
-        for (int size : SIZES) {
+        for (int size : QUEUE_SIZES) {
             double[] heap = new double[rounds];
             double[] calendar = new double[rounds];
             for (int i = 0; i < rounds; i++) {
@@ -86,35 +87,35 @@
         return lines;
     }
 
-    private static long span(SplittableRandom random) {
-        return Math.round(-Math.log(1 - random.nextDouble()) * MEAN_SPAN_NANOS);
+    private static long delayNanos(SplittableRandom random) {
+        return Math.round(-Math.log(1 - random.nextDouble()) * MEAN_DELAY_NANOS);
     }
 
     private static double heap(int size, int seed) {
         VirtualTimeline time = new VirtualTimeline();
         SplittableRandom random = new SplittableRandom(seed);
         Runnable[] event = {null};
-        event[0] = () -> time.after(span(random), event[0]);
+        event[0] = () -> time.after(delayNanos(random), event[0]);
         for (int i = 0; i < size; i++) {
-            time.after(span(random), event[0]);
+            time.after(delayNanos(random), event[0]);
         }
         long startedAt = System.nanoTime();
         while (time.executedTasks() < EVENTS) {
-            time.advanceTo(time.now() + Math.max(1, Math.round(MEAN_SPAN_NANOS / size * EVENTS_PER_STEP)));
+            time.advanceTo(time.now() + Math.max(1, Math.round(MEAN_DELAY_NANOS / size * EVENTS_PER_STEP)));
         }
         return (double) (System.nanoTime() - startedAt) / time.executedTasks();
     }
 
     private static double calendar(int size, int seed) {
-        Calendar queue = new Calendar(size, MEAN_SPAN_NANOS);
+        Calendar queue = new Calendar(size, MEAN_DELAY_NANOS);
         SplittableRandom random = new SplittableRandom(seed);
         for (int i = 0; i < size; i++) {
-            queue.add(span(random));
+            queue.add(delayNanos(random));
         }
         long startedAt = System.nanoTime();
         for (int i = 0; i < EVENTS; i++) {
             long now = queue.poll();
-            queue.add(now + span(random));
+            queue.add(now + delayNanos(random));
         }
         if (queue.size != size) {
             throw new IllegalStateException("events were lost: " + queue.size);
--- a/testbed/src/main/java/pearladder/testbed/Report.java
+++ b/testbed/src/main/java/pearladder/testbed/Report.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** One HTML page of tables and charts, made from the results of a scenario or of an experiment's runs. */
+/** An HTML page of tables and charts for the results of a scenario or of the runs of an experiment. */
 public final class Report {
     private static final String FILE = "report.html";
 
     private Report() {}
 
-    /** Writes report.html into a folder that holds results, its own or in folders below it; returns the file. */
+    /** Writes report.html into a folder that contains results, directly or in subfolders; returns the file. */
     public static Path write(Path folder) throws IOException {
         Map<String, JsonNode> runs = Results.below(folder);
         if (runs.isEmpty()) {
@@ -25,7 +25,7 @@
         return file;
     }
 
-    /** Writes a page with one chart of stacked bars: by series, by the label below the bar. */
+    /** Writes a page with one chart of stacked bars; the values are keyed by series and then by bar label. */
     public static void bars(Path file, String title, String unit, Map<String, Map<String, Double>> series)
             throws IOException {
         List<String> labels = series.values().stream()
--- a/testbed/src/main/java/pearladder/testbed/RequestClassTerms.java
+++ b/testbed/src/main/java/pearladder/testbed/RequestClassTerms.java
@@ -1,11 +1,11 @@
 package pearladder.testbed;
 
 /**
- * What the invariant checks and the clients must know of a request class; spans in nanoseconds.
+ * The settings of a request class that the invariant checks and the clients use; durations in nanoseconds.
  *
  * @param latencyObjective the latency objective
  * @param deadline the deadline
- * @param keyRetention for how long workers remember an idempotency key
+ * @param keyRetention how long workers retain an idempotency key
  * @param priorityWeight the priority weight that a success within the objective earns
  * @param lateWeightShare share of the weight that a later success earns, 0 to 1
  */
@@ -18,7 +18,7 @@
         long keyRetention,
         double priorityWeight,
         double lateWeightShare) {
-    /** What executing a request several times does; the words of configurations. */
+    /** Whether a request may be executed more than once; the constant names are configuration values. */
     public enum Idempotency {
         /** Idempotent. */
         RETRIABLE,
@@ -28,7 +28,7 @@
         BINDING
     }
 
-    /** Which workers share the memory of idempotency keys; the words of configurations. */
+    /** Which workers share their retained idempotency keys; the constant names are configuration values. */
     public enum DeduplicationScope {
         /** All workers. */
         ALL,
--- a/testbed/src/main/java/pearladder/testbed/RequestDistributor.java
+++ b/testbed/src/main/java/pearladder/testbed/RequestDistributor.java
@@ -6,12 +6,12 @@
 import java.util.Queue;
 
 /**
- * Distributes the requests of one source over lanes, each on an event loop of its own: request n goes to lane n
- * modulo their number. The sequence is the source's whatever the number of lanes; only who sends a request depends on
- * it. Thread-safe.
+ * Distributes the requests of one source over lanes, each on its own event loop: request n goes to lane n
+ * modulo the number of lanes. The sequence of requests does not depend on the number of lanes; only the sending lane of
+ * each request does. Thread-safe.
  */
 final class RequestDistributor {
-    /** What one event loop sends, in the order of the requests' due times. */
+    /** The requests sent by one event loop, in the order of their due times. */
     final class Lane implements RequestSource {
         private final Queue<ScheduledRequest> waiting = new ArrayDeque<>();
 
--- a/testbed/src/main/java/pearladder/testbed/RequestSource.java
+++ b/testbed/src/main/java/pearladder/testbed/RequestSource.java
@@ -1,17 +1,17 @@
 package pearladder.testbed;
 
-/** Where the requests of a scenario come from, in the order of their due times. */
+/** Supplies the requests of a scenario in the order of their due times. */
 public interface RequestSource {
     /**
      * One request.
      *
      * @param dueAfter nanoseconds after the start of the scenario
-     * @param number from 0 on, in the order of the source
+     * @param number sequence number within the source, starting at 0
      * @param requestClass the request class
      * @param tenant the tenant; empty for none
-     * @param zone the zone of its client
-     * @param work on a standard core, in nanoseconds
-     * @param patience the share of the deadline that each attempt is given, 0 to 1
+     * @param zone the zone of the client
+     * @param work processing time on a standard core, in nanoseconds
+     * @param patience attempt timeout as a share of the deadline, 0 to 1
      */
     record ScheduledRequest(
             long dueAfter,
@@ -23,6 +23,6 @@
             long work,
             double patience) {}
 
-    /** The next request, or null once there are no more. */
+    /** Returns the next request, or null if there are no more. */
     ScheduledRequest next();
 }
--- a/testbed/src/main/java/pearladder/testbed/Results.java
+++ b/testbed/src/main/java/pearladder/testbed/Results.java
@@ -19,7 +19,7 @@
 import pearladder.emulator.Observation;
 import pearladder.kserve.RequestOutcome;
 
-/** The results of a scenario as a file, results.json in its folder, from which reports and comparisons are made. */
+/** The results of a scenario, stored as results.json in its folder; the input of reports and comparisons. */
 public final class Results {
     static final String FILE = "results.json";
 
@@ -27,16 +27,16 @@
     private static final double[] PERCENTILES = {10, 25, 50, 75, 90, 95, 99, 99.9, 100};
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double MB_PER_GB = 1e3;
-    /** The note of a load whose image is not in the store, so that nothing was fetched. */
+    /** Note of a load that fetched nothing, because the image is not in the model store. */
     private static final String NO_IMAGE = "no image";
 
     private Results() {}
 
     /**
-     * The results of a scenario.
+     * Creates the results of a scenario.
      *
      * @param startedAt start of the scenario on the observations' clock, in nanoseconds
-     * @param table lines for people
+     * @param table human-readable lines
      */
     public static ObjectNode of(
             ScenarioPlan plan,
@@ -99,8 +99,8 @@
     }
 
     /**
-     * A line on the loads that ended, what they fetched from the store, and the share of their time that the fetch
-     * took.
+     * Returns a line about the loads that ended, the amount fetched from the model store, and the share of load time
+     * spent on the fetch.
      */
     static String loadsLine(ScenarioPlan plan, List<Observation> observations, long startedAt) {
         long loads = 0;
@@ -131,7 +131,7 @@
                 100 * fetchShares / Math.max(1, loads - failed));
     }
 
-    /** How many attempts were rejected, by what the workers had said to them before. */
+    /** Counts rejected attempts by the workers' last response to the request. */
     private static Map<String, Long> rejectionCauses(List<Observation> observations) {
         Map<String, String> lastAtWorker = new HashMap<>();
         Map<String, Long> causes = new TreeMap<>();
@@ -151,14 +151,18 @@
         return causes;
     }
 
-    /** Writes results into a folder, beside and moved over, so that the file is whole or not there. */
+    /** Writes results into a folder atomically: to a temporary file, which then replaces the results file. */
     public static void write(Path folder, JsonNode results) throws IOException {
-        Path beside = folder.resolve("results.new");
-        JSON.writeValue(beside.toFile(), results);
-        Files.move(beside, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporaryFile = folder.resolve("results.new");
+        JSON.writeValue(temporaryFile.toFile(), results);
+        Files.move(
+                temporaryFile,
+                folder.resolve(FILE),
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** The results in a folder, or null where there are none that can be read. */
+    /** Returns the results in a folder, or null if there are none or they are unreadable. */
     public static JsonNode read(Path folder) {
         try {
             return JSON.readTree(folder.resolve(FILE).toFile());
@@ -167,20 +171,20 @@
         }
     }
 
-    /** The results in a folder and in the folders right below it, by the folder's name. */
+    /** Returns the results in a folder and in its direct subfolders, by folder name. */
     static Map<String, JsonNode> below(Path folder) throws IOException {
         List<Path> folders = new ArrayList<>();
         folders.add(folder);
         try (var children = Files.list(folder)) {
             children.filter(Files::isDirectory).forEach(folders::add);
         }
-        Map<String, JsonNode> all = new TreeMap<>();
-        for (Path each : folders) {
-            JsonNode results = read(each);
+        Map<String, JsonNode> resultsByFolder = new TreeMap<>();
+        for (Path candidate : folders) {
+            JsonNode results = read(candidate);
             if (results != null) {
-                all.put(each.getFileName().toString(), results);
+                resultsByFolder.put(candidate.getFileName().toString(), results);
             }
         }
-        return all;
+        return resultsByFolder;
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/RollbackDelays.java
+++ b/testbed/src/main/java/pearladder/testbed/RollbackDelays.java
@@ -11,8 +11,8 @@
 import pearladder.testbed.VersionShares.VersionedModel;
 
 /**
- * For each rollback of a model and each router, the time from the order to the last request that the router still
- * sent to the version that was taken back.
+ * For each rollback of a model and each router, the time from the rollback order to the last request that the router
+ * still sent to the version that was rolled back.
  */
 final class RollbackDelays {
     /** How the fault injector reports an order: "order WHAT PREFIX x COUNT". */
@@ -30,7 +30,7 @@
     private final Map<String, String> newVersions = new HashMap<>();
     private final Map<String, Sent> requests = new HashMap<>();
     private final Set<String> routers = new HashSet<>();
-    /** By model and moment, whether the order was a rollback. */
+    /** Whether each order was a rollback, by model and time of the order. */
     private final Map<String, TreeMap<Long, Boolean>> orderTimes = new HashMap<>();
 
     private final Map<Rollback, Long> lastSent = new HashMap<>();
@@ -83,7 +83,7 @@
         }
     }
 
-    /** A line for the table of a scenario; none where nothing was rolled back. */
+    /** Returns a line for the table of a scenario, or no line if there was no rollback. */
     List<String> lines() {
         if (lastSent.isEmpty()) {
             return List.of();
--- a/testbed/src/main/java/pearladder/testbed/RolloutScript.java
+++ b/testbed/src/main/java/pearladder/testbed/RolloutScript.java
@@ -14,32 +14,32 @@
 import pearladder.config.ConfigValue;
 import pearladder.rollout.RolloutTarget;
 
-/** The operators of a scenario: orders on rollouts, given at their times to every router at its admin port. */
+/** Simulates the operators of a scenario: sends rollout orders to the admin port of every router when they are due. */
 public final class RolloutScript {
-    /** Kinds of orders, by the words of scripts. */
+    /** Types of rollout orders; the constant names are values in scripts. */
     public enum OrderType {
         /** Starts a rollout at its first step. */
         START,
-        /** Goes on to the next step. */
+        /** Advances to the next step. */
         STEP,
-        /** Keeps the share and judges no more. */
+        /** Keeps the traffic share and suspends the evaluation of the new version. */
         PAUSE,
         /** Ends a pause. */
         RESUME,
-        /** Returns all requests to the old version. */
+        /** Routes all requests to the old version again. */
         ROLLBACK
     }
 
     /**
      * One order.
      *
-     * @param at from the start of the scenario, in nanoseconds
-     * @param modelPrefix of the models that it is for, whose names end with a number from 0 on
-     * @param modelCount of those models
-     * @param plan of a start, as the routers take it but for the model; null for the other orders
+     * @param at when the order is sent, in nanoseconds after the start of the scenario
+     * @param modelPrefix name prefix of the affected models; their names end with a number starting at 0
+     * @param modelCount number of affected models
+     * @param plan rollout plan of a START order in the format of the routers, without the model; null otherwise
      */
     public record Order(long at, OrderType type, String modelPrefix, int modelCount, ObjectNode plan) {
-        /** The models that it is for. */
+        /** Returns the names of the affected models. */
         public List<String> models() {
             List<String> models = new ArrayList<>();
             for (int i = 0; i < modelCount; i++) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Ends the line on a router that gave no response. */
+    /** Suffix of the line for a router that did not respond. */
     static final String NO_ANSWER = "no answer";
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -64,15 +64,15 @@
     /**
      * Creates the operators of a scenario.
      *
-     * @param http by which orders are given; null where only {@link #nextTargets} is asked
+     * @param http client that sends the orders; null if only {@link #nextTargets} is used
      */
     public RolloutScript(LoopbackHttpClient http) {
         this.http = http;
     }
 
-    /** The orders of one entry of a script: one, or as many as it says, each so long after the one before. */
+    /** Reads the orders of one script entry: one order, or "times" orders at intervals of "every". */
     static List<Order> read(ConfigValue entry) {
-        Order first = one(entry);
+        Order first = firstOrder(entry);
         List<Order> orders = new ArrayList<>();
         long interval = entry.at("every").durationNanos("0 s");
         for (int i = 0; i < entry.at("times").wholeNumber(1, 1, MAX_REPEATS); i++) {
@@ -82,14 +82,14 @@
         return orders;
     }
 
-    private static Order one(ConfigValue entry) {
-        OrderType what = entry.at("order").enumConstant(OrderType.class, null);
+    private static Order firstOrder(ConfigValue entry) {
+        OrderType type = entry.at("order").enumConstant(OrderType.class, null);
         return new Order(
                 entry.at("at").durationNanos(),
-                what,
+                type,
                 entry.at("models").text(),
                 entry.at("count").wholeNumber(1, 1, MAX_MODELS),
-                what == OrderType.START ? plan(entry) : null);
+                type == OrderType.START ? plan(entry) : null);
     }
 
     private static ObjectNode plan(ConfigValue entry) {
@@ -107,12 +107,12 @@
     }
 
     /**
-     * Gives an order to every router, all at once; a line for each that did not take it, which ends with
-     * {@link #NO_ANSWER} where the router gave no response.
+     * Sends an order to all routers in parallel. Returns a line for each router that did not accept it, ending with
+     * {@link #NO_ANSWER} if the router did not respond.
      */
-    List<String> give(Order order, Map<String, Integer> adminPorts) {
+    List<String> send(Order order, Map<String, Integer> adminPorts) {
         ArrayNode targets = JSON.createArrayNode();
-        order.models().forEach(model -> targets.add(next(order, model)));
+        order.models().forEach(model -> targets.add(nextTarget(order, model)));
         Map<String, CompletableFuture<HttpResponse<String>>> responses = new LinkedHashMap<>();
         adminPorts.forEach((router, adminPort) ->
                 responses.put(router, http.post(adminPort, "/releases", targets.toString(), ORDER_TIMEOUT)));
@@ -131,18 +131,18 @@
         return rejections;
     }
 
-    /** The targets of an order, for routers that receive them without HTTP. */
+    /** Returns the rollout targets of an order, for routers that receive them without HTTP. */
     public List<RolloutTarget> nextTargets(Order order) {
         return order.models().stream()
-                .map(model -> JSON.convertValue(next(order, model), RolloutTarget.class))
+                .map(model -> JSON.convertValue(nextTarget(order, model), RolloutTarget.class))
                 .toList();
     }
 
-    /** The target that replaces a model's last one. */
-    private ObjectNode next(Order order, String model) {
-        ObjectNode before = lastTargets.get(model);
-        ObjectNode target = before == null ? JSON.createObjectNode() : before.deepCopy();
-        target.put("epoch", before == null ? 1 : before.path("epoch").asLong() + 1)
+    /** Returns the rollout target that replaces the model's previous one. */
+    private ObjectNode nextTarget(Order order, String model) {
+        ObjectNode previous = lastTargets.get(model);
+        ObjectNode target = previous == null ? JSON.createObjectNode() : previous.deepCopy();
+        target.put("epoch", previous == null ? 1 : previous.path("epoch").asLong() + 1)
                 .put("by", "day")
                 .put("wallMillis", http == null ? 0 : System.currentTimeMillis());
         switch (order.type()) {
@@ -151,9 +151,9 @@
                 ((ObjectNode) target.putObject("plan").setAll(order.plan())).put("model", model);
             }
             case STEP -> {
-                int last = target.path("plan").path("steps").size() - 1;
+                int lastStep = target.path("plan").path("steps").size() - 1;
                 target.put("mode", "RUNNING")
-                        .put("step", Math.min(target.path("step").asInt() + 1, last));
+                        .put("step", Math.min(target.path("step").asInt() + 1, lastStep));
             }
             case PAUSE -> target.put("mode", "PAUSED");
             case RESUME -> target.put("mode", "RUNNING");
--- a/testbed/src/main/java/pearladder/testbed/RolloutTrials.java
+++ b/testbed/src/main/java/pearladder/testbed/RolloutTrials.java
@@ -13,24 +13,24 @@
 import pearladder.routing.api.TimeSpan;
 
 /**
- * Trials of the rollout controller alone, in simulated time and with random results: shares reached against those asked
- * for, and how many of many rollouts are rolled back, by how much worse the new version is.
+ * Trials of the rollout controller alone, in simulated time and with random results: traffic shares reached against
+ * those configured, and the number of rollouts rolled back, by the excess failure rate of the new version.
  */
 public final class RolloutTrials {
-    private static final double[] SHARES_ASKED = {0.05, 0.25, 0.5};
-    private static final double[] EXCESS_FAILURES = {0, 0.01, 0.02, 0.05, 0.1, 0.3, 0.98};
+    private static final double[] CONFIGURED_SHARES = {0.05, 0.25, 0.5};
+    private static final double[] EXCESS_FAILURE_RATES = {0, 0.01, 0.02, 0.05, 0.1, 0.3, 0.98};
     private static final List<Double> STEPS = List.of(0.05, 0.25, 1.0);
     private static final String OLD_VERSION = "1";
     private static final String NEW_VERSION = "2";
     private static final String MODEL = "pair";
-    /** How the controller's status names a rollout that has reached all requests. */
+    /** Part of the controller's status of a rollout that has reached all requests. */
     private static final String COMPLETE = "share 1.00";
 
     private static final int REQUESTS_PER_MODEL = 10_000;
     private static final int MODELS = 40;
     private static final int ROLLOUTS = 200;
     private static final int MAX_REQUESTS_PER_ROLLOUT = 40_000;
-    private static final double USUAL_FAILURES = 0.02;
+    private static final double BASELINE_FAILURE_RATE = 0.02;
     private static final double SHARE_TOLERANCE = 0.01;
     private static final int WORKERS = 6;
     private static final long REQUEST_INTERVAL_NANOS = 1_000_000;
@@ -43,18 +43,18 @@
         HELD
     }
 
-    /** How a rollout ended and how many requests the new version got. */
+    /** How a rollout ended, and the number of requests sent to the new version. */
     private record Trial(End end, int requestsToNew) {}
 
     private RolloutTrials() {}
 
-    /** Runs all trials, a line for each result; the same each time. */
+    /** Runs all trials and returns one line per result. The results are deterministic. */
     public static List<String> run() {
         List<String> lines = new ArrayList<>();
-        for (double asked : SHARES_ASKED) {
-            lines.add(shareLine(asked));
+        for (double configuredShare : CONFIGURED_SHARES) {
+            lines.add(shareLine(configuredShare));
         }
-        for (double excess : EXCESS_FAILURES) {
+        for (double excess : EXCESS_FAILURE_RATES) {
             lines.add(rollbackLine(excess));
         }
         return lines;
@@ -78,29 +78,29 @@
         return controller;
     }
 
-    private static String shareLine(double asked) {
-        double furthest = 0;
-        int within = 0;
+    private static String shareLine(double configuredShare) {
+        double maxError = 0;
+        int withinTolerance = 0;
         for (int i = 0; i < MODELS; i++) {
-            double error = Math.abs(shareReached("pair-" + i, asked) - asked);
-            furthest = Math.max(furthest, error);
-            within += error <= SHARE_TOLERANCE ? 1 : 0;
+            double error = Math.abs(shareReached("pair-" + i, configuredShare) - configuredShare);
+            maxError = Math.max(maxError, error);
+            withinTolerance += error <= SHARE_TOLERANCE ? 1 : 0;
         }
-        double standardError = Math.sqrt(asked * (1 - asked) / REQUESTS_PER_MODEL);
+        double standardError = Math.sqrt(configuredShare * (1 - configuredShare) / REQUESTS_PER_MODEL);
         return String.format(
                 Locale.ROOT,
                 "share %.2f asked, %d calls of a key each: within 1 point at %d of %d models, furthest "
                         + "%.2f points (a fair draw's standard error is %.2f)",
-                asked,
+                configuredShare,
                 REQUESTS_PER_MODEL,
-                within,
+                withinTolerance,
                 MODELS,
-                furthest * 100,
+                maxError * 100,
                 standardError * 100);
     }
 
-    private static double shareReached(String model, double asked) {
-        RolloutController controller = started(model, List.of(asked, 1.0));
+    private static double shareReached(String model, double configuredShare) {
+        RolloutController controller = started(model, List.of(configuredShare, 1.0));
         controller.on(new MonotonicTime(1), new RolloutEvent.Tick());
         MonotonicTime now = new MonotonicTime(2);
         int requestsToNew = 0;
@@ -146,7 +146,7 @@
                 "worse by %.2f over a usual share of %.2f, %d releases of at most %d calls: %d taken back"
                         + "%s, %d went all the way, %d were still held",
                 excess,
-                USUAL_FAILURES,
+                BASELINE_FAILURE_RATE,
                 ROLLOUTS,
                 MAX_REQUESTS_PER_ROLLOUT,
                 rolledBack,
@@ -163,8 +163,8 @@
             MonotonicTime now = new MonotonicTime(REQUEST_INTERVAL_NANOS * (i + 1));
             boolean toNew = isNew(versionFor(controller, now, MODEL, i));
             requestsToNew += toNew ? 1 : 0;
-            double failures = toNew ? Math.min(1, USUAL_FAILURES + excess) : USUAL_FAILURES;
-            boolean succeeded = random.nextDouble() >= failures;
+            double failureRate = toNew ? Math.min(1, BASELINE_FAILURE_RATE + excess) : BASELINE_FAILURE_RATE;
+            boolean succeeded = random.nextDouble() >= failureRate;
             List<String> workers = List.of("e" + random.nextInt(WORKERS));
             List<RolloutAction> actions =
                     controller.on(now, new RolloutEvent.RequestCompleted("c" + i, succeeded, workers));
--- a/testbed/src/main/java/pearladder/testbed/RouterProcesses.java
+++ b/testbed/src/main/java/pearladder/testbed/RouterProcesses.java
@@ -22,7 +22,7 @@
 
 /**
  * The router processes of a scenario: writes their configuration files, starts them, waits until they are ready and
- * knows their addresses. A router keeps its ports over its restarts. Thread-safe once all routers have started.
+ * holds their addresses. A router keeps its ports across restarts. Thread-safe once all routers have started.
  */
 final class RouterProcesses implements AutoCloseable {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
@@ -35,17 +35,17 @@
     private final List<String> arguments;
     private final LoopbackHttpClient http;
     private final Consumer<Observation> observations;
-    private final ExecutorService starters = Executors.newCachedThreadPool(Scenario::daemonThread);
+    private final ExecutorService startExecutor = Executors.newCachedThreadPool(Scenario::daemonThread);
     private final YAMLMapper yaml = new YAMLMapper();
     private final Map<String, String> zones = new LinkedHashMap<>();
     private final Map<String, Integer> ports = Collections.synchronizedMap(new LinkedHashMap<>());
     private final Map<String, Integer> adminPorts = Collections.synchronizedMap(new LinkedHashMap<>());
 
     /**
-     * Creates the routers of a scenario; none runs yet.
+     * Creates the routers of a scenario without starting them.
      *
      * @param folder for the routers' configuration and data
-     * @param arguments further words of each router's command line
+     * @param arguments additional command-line arguments of each router
      * @param observations is notified when a router starts or is killed
      */
     RouterProcesses(
@@ -69,11 +69,11 @@
     }
 
     /**
-     * Writes the configuration of each router, starts all at once (one after the other, a dozen take half a minute),
-     * and tells each the addresses of the others.
+     * Writes the configuration of each router, starts all in parallel (a dozen started in sequence take 30 s),
+     * and writes the addresses of the others into the configuration of each.
      *
-     * @param routerSection of the scenario's script
-     * @param discoveryPort of the endpoint registry
+     * @param routerSection the router section of the script
+     * @param discoveryPort port of the endpoint registry
      */
     void startAll(JsonNode routerSection, int discoveryPort) throws IOException {
         int number = 0;
@@ -82,7 +82,7 @@
         }
         List<CompletableFuture<Void>> starts = new ArrayList<>();
         for (String name : names()) {
-            starts.add(CompletableFuture.runAsync(() -> startUnchecked(name), starters));
+            starts.add(CompletableFuture.runAsync(() -> startUnchecked(name), startExecutor));
         }
         try {
             CompletableFuture.allOf(starts.toArray(CompletableFuture[]::new)).join();
@@ -112,7 +112,7 @@
         yaml.writeValue(configurationFile(name).toFile(), configuration);
     }
 
-    /** A router that is started again learns from all the others which rollout orders it missed. */
+    /** Lists all other routers as peers, so that a restarted router learns the rollout orders it missed. */
     private void writePeers(String name) throws IOException {
         editConfiguration(name, configuration -> {
             ArrayNode peers = configuration.withObject("/releases").putArray("learn_from");
@@ -143,9 +143,9 @@
         }
     }
 
-    /** Starts a router on a thread of its own, as a process takes a second to start. */
+    /** Starts a router on a separate thread, because a process takes a second to start. */
     void startInBackground(String name, Runnable onReady, Consumer<String> onFailure) {
-        starters.execute(() -> {
+        startExecutor.execute(() -> {
             try {
                 start(name);
                 onReady.run();
@@ -206,27 +206,27 @@
         }
     }
 
-    /** Kills a router outright. */
+    /** Kills a router without a graceful shutdown. */
     void kill(String name) {
         observations.accept(Scenario.observation(Observation.KILLED, name, ""));
         processes.kill(name);
         adminPorts.remove(name);
     }
 
-    /** Asks each router to end, one after the other; a line for each that ended by itself with an error. */
+    /** Stops the routers in sequence; returns a line for each running router whose exit code was not 0. */
     List<String> stopAll() {
         List<String> faults = new ArrayList<>();
         for (String name : names()) {
-            boolean alive = processes.alive(name);
+            boolean wasAlive = processes.alive(name);
             int exitCode = processes.stop(name);
-            if (alive && exitCode != 0) {
+            if (wasAlive && exitCode != 0) {
                 faults.add(name + " ended with " + exitCode + " after SIGTERM, not 0");
             }
         }
         return faults;
     }
 
-    /** The text of the metrics of each router that answers, by its name. */
+    /** Returns the metrics text of each router that responds, by router name. */
     Map<String, String> metrics() {
         Map<String, String> metrics = new LinkedHashMap<>();
         for (String name : names()) {
@@ -243,41 +243,41 @@
         return metrics;
     }
 
-    /** The names of all routers, in the order of their numbers. */
+    /** Returns the names of all routers in the order of their numbers. */
     List<String> names() {
         return List.copyOf(zones.keySet());
     }
 
-    /** The names of the routers of a zone, or of all where it is empty. */
+    /** Returns the names of the routers in a zone, or of all routers if the zone is empty. */
     List<String> names(String zone) {
         return zones.keySet().stream()
                 .filter(name -> zone.isEmpty() || zones.get(name).equals(zone))
                 .toList();
     }
 
-    /** The zone of a router. */
+    /** Returns the zone of a router. */
     String zone(String name) {
         return zones.get(name);
     }
 
-    /** The port on which a router takes requests. */
+    /** Returns the port on which a router accepts requests. */
     int port(String name) {
         return ports.get(name);
     }
 
-    /** The ports on which the routers take requests. */
+    /** Returns the ports on which the routers accept requests. */
     List<Integer> ports() {
         return List.copyOf(ports.values());
     }
 
-    /** The admin port of each router that was not killed, by its name. */
+    /** Returns the admin port of each router that was not killed, by router name. */
     Map<String, Integer> adminPorts() {
         return new LinkedHashMap<>(adminPorts);
     }
 
-    /** Ends starts that still wait; the processes themselves are ended by their owner. */
+    /** Cancels pending starts. The owner of the processes stops the processes themselves. */
     @Override
     public void close() {
-        starters.shutdownNow();
+        startExecutor.shutdownNow();
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/RouterUsage.java
+++ b/testbed/src/main/java/pearladder/testbed/RouterUsage.java
@@ -10,8 +10,8 @@
 import java.util.function.Supplier;
 
 /**
- * What the routers use over a scenario: of the heap the least of each minute's samples, which is near what is live
- * right after a collection; of the processor the mean and the most, in cores.
+ * Resource use of the routers during a scenario: the minimum heap sample of each minute, which approximates the live
+ * data after a garbage collection, and the mean and maximum processor use in cores.
  */
 final class RouterUsage {
     private static final String HEAP_METRIC = "jvm_memory_used_bytes{area=\"heap\"";
@@ -22,25 +22,27 @@
 
     private final Supplier<Map<String, String>> metrics;
     private final long startedAt = System.nanoTime();
-    /** By router and minute, in bytes. */
-    private final Map<String, Map<Long, Double>> leastHeap = new LinkedHashMap<>();
+    /** Minimum heap in bytes, by router and minute. */
+    private final Map<String, Map<Long, Double>> minHeapBytes = new LinkedHashMap<>();
 
     private final Map<String, DoubleSummaryStatistics> cores = new LinkedHashMap<>();
 
     /**
-     * Creates a watch that has no samples.
+     * Creates a recorder without samples.
      *
-     * @param metrics the text of each router's metrics, by its name
+     * @param metrics supplies the metrics text of each router, by router name
      */
     RouterUsage(Supplier<Map<String, String>> metrics) {
         this.metrics = metrics;
     }
 
-    /** Takes one sample of each router that answers. */
+    /** Takes one sample of each router that responds. */
     void sample() {
         long minute = TimeUnit.NANOSECONDS.toMinutes(System.nanoTime() - startedAt);
         metrics.get().forEach((router, text) -> {
-            leastHeap.computeIfAbsent(router, name -> new LinkedHashMap<>()).merge(minute, heapBytes(text), Math::min);
+            minHeapBytes
+                    .computeIfAbsent(router, name -> new LinkedHashMap<>())
+                    .merge(minute, heapBytes(text), Math::min);
             double used = value(text, CPU_USAGE_METRIC) * value(text, CPU_COUNT_METRIC);
             if (used >= 0) {
                 cores.computeIfAbsent(router, name -> new DoubleSummaryStatistics())
@@ -64,10 +66,10 @@
                 .orElse(MISSING);
     }
 
-    /** Lines for the table of a scenario. */
+    /** Returns lines for the table of a scenario. */
     List<String> lines() {
         List<String> lines = new ArrayList<>();
-        leastHeap.forEach((router, minutes) -> lines.add("least heap of " + router + " in each minute, MB: "
+        minHeapBytes.forEach((router, minutes) -> lines.add("least heap of " + router + " in each minute, MB: "
                 + String.join(
                         " ",
                         minutes.values().stream().map(RouterUsage::megabytes).toList())));
--- a/testbed/src/main/java/pearladder/testbed/RunSection.java
+++ b/testbed/src/main/java/pearladder/testbed/RunSection.java
@@ -11,17 +11,17 @@
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** The part of a report on one run. */
+/** The section of a report about one run. */
 final class RunSection {
-    /** A little above the greatest share, so that its line can be seen. */
-    private static final double TOP_OF_SHARES = 1.05;
+    /** Upper end of the share axis: slightly above the maximum of 1, so that a line there is visible. */
+    private static final double SHARE_AXIS_MAX = 1.05;
 
     private static final Color FAULT_COLOR = new Color(200, 90, 60, 140);
 
     private final HtmlPage page;
     private final String name;
     private final JsonNode run;
-    /** Where the windows begin, in seconds. */
+    /** Start times of the windows, in seconds. */
     private final List<Double> starts;
 
     RunSection(HtmlPage page, String name, JsonNode run) {
@@ -48,7 +48,7 @@
         page.markup("</pre>");
     }
 
-    /** A figure of each window. */
+    /** Returns the value of a key in each window. */
     private List<Double> column(String key) {
         return column(window -> window.path(key).asDouble());
     }
@@ -68,12 +68,12 @@
                 "Credit, by ten seconds; troubles begin at the marks",
                 "seconds of the day",
                 "credit earned of credit asked for");
-        chart.getStyler().setYAxisMin(0.0).setYAxisMax(TOP_OF_SHARES).setLegendVisible(false);
+        chart.getStyler().setYAxisMin(0.0).setYAxisMax(SHARE_AXIS_MAX).setLegendVisible(false);
         Charts.addLine(chart, "credit", starts, column("credit"));
         int number = 0;
         for (JsonNode fault : run.path("troubles")) {
             double at = fault.path("at_s").asDouble();
-            XYSeries faultLine = chart.addSeries("trouble " + number++, List.of(at, at), List.of(0.0, TOP_OF_SHARES));
+            XYSeries faultLine = chart.addSeries("trouble " + number++, List.of(at, at), List.of(0.0, SHARE_AXIS_MAX));
             faultLine.setMarker(SeriesMarkers.NONE).setLineColor(FAULT_COLOR).setLineWidth(1);
         }
         return chart;
@@ -110,7 +110,7 @@
         return chart;
     }
 
-    /** Only where some answers came from a version. */
+    /** Appended only if some answers came from a version. */
     private void appendVersions() throws IOException {
         double byVersion = column("settled_by_version").stream()
                 .mapToDouble(count -> count)
@@ -120,7 +120,7 @@
         }
         XYChart chart =
                 Charts.lines("Answers that came from a new version", "seconds of the day", "share of settled answers");
-        chart.getStyler().setYAxisMin(0.0).setYAxisMax(TOP_OF_SHARES).setLegendVisible(false);
+        chart.getStyler().setYAxisMin(0.0).setYAxisMax(SHARE_AXIS_MAX).setLegendVisible(false);
         List<Double> shares = column(window -> window.path("settled_by_version").asDouble()
                 / Math.max(1, window.path("settled").asDouble()));
         Charts.addLine(chart, "share", starts, shares);
@@ -139,7 +139,7 @@
         page.markup("</table>");
     }
 
-    /** Only of a simulation: what the routers would have logged. */
+    /** Appends what the routers would have logged; only simulations record it. */
     private void appendLogs() {
         JsonNode lines = run.path("staff");
         if (lines.isEmpty()) {
--- a/testbed/src/main/java/pearladder/testbed/Scenario.java
+++ b/testbed/src/main/java/pearladder/testbed/Scenario.java
@@ -26,11 +26,11 @@
     /**
      * The result of a scenario.
      *
-     * @param credit share of the priority weight asked for that was earned, 0 to 1
-     * @param worstWindow the least such share in any ten seconds
-     * @param requests requests that ended
-     * @param table lines for people
-     * @param faults what went wrong beside the invariants
+     * @param credit earned share of the total priority weight of the requests, 0 to 1
+     * @param worstWindow lowest such share in any ten seconds
+     * @param requests number of completed requests
+     * @param table human-readable lines
+     * @param faults problems other than invariant violations
      */
     public record Result(
             double credit,
@@ -39,22 +39,22 @@
             List<String> table,
             InvariantChecker.Verdict verdict,
             List<String> faults) {
-        /** Whether every invariant held and nothing else went wrong. */
+        /** Returns whether there are neither invariant violations nor other faults. */
         public boolean isClean() {
             return verdict.violations().isEmpty() && faults.isEmpty();
         }
     }
 
     private static final String WORKERS = "engines";
-    /** From the end of the warm-up until the first request. */
+    /** Delay from the end of the warm-up to the start of the scenario. */
     private static final long START_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private static final long PROGRESS_INTERVAL_SECONDS = 5;
-    /** How much longer than the scenario its last requests may take. */
-    private static final long END_TIMEOUT_MILLIS = 60_000;
+    /** How long after the end of the scenario its last requests may complete. */
+    private static final long COMPLETION_TIMEOUT_MILLIS = 60_000;
 
-    private static final long SHORTEST_FAULT_WAIT_NANOS = 1_000_000;
-    private static final long LONGEST_FAULT_WAIT_NANOS = 50_000_000;
+    private static final long MIN_FAULT_WAIT_NANOS = 1_000_000;
+    private static final long MAX_FAULT_WAIT_NANOS = 50_000_000;
 
     private final ScenarioPlan plan;
     private final Path script;
@@ -63,14 +63,14 @@
     private final List<String> routerArguments;
     private final PrintStream progress;
     private final LoopbackHttpClient http = new LoopbackHttpClient();
-    /** Faults are slow to inject, as processes start: a thread of their own keeps them in order. */
+    /** Injecting a fault can block while processes start; a dedicated single thread keeps the faults in order. */
     private final ExecutorService faultThread = Executors.newSingleThreadExecutor(Scenario::daemonThread);
 
     private final List<String> faults = Collections.synchronizedList(new ArrayList<>());
     private final ClientLoadBalancer loadBalancer;
     private final LoadStatistics statistics = new LoadStatistics();
     private final RouterUsage routerUsage = new RouterUsage(() -> this.routers.metrics());
-    private final RolloutScript releases = new RolloutScript(http);
+    private final RolloutScript rolloutScript = new RolloutScript(http);
     private ObservationLog observations;
     private RouterProcesses routers;
     private WorkerControl workers;
@@ -84,8 +84,8 @@
         this.plan = ScenarioPlan.read(script);
         this.script = script;
         this.folder = folder;
-        boolean crowded = plan.routers() * 2 > Runtime.getRuntime().availableProcessors();
-        this.processes = new ChildProcesses(program, folder, crowded);
+        boolean oversubscribed = plan.routers() * 2 > Runtime.getRuntime().availableProcessors();
+        this.processes = new ChildProcesses(program, folder, oversubscribed);
         this.routerArguments = routerArguments;
         this.progress = progress;
         this.loadBalancer = new ClientLoadBalancer(plan.clients().loadBalancerLag());
@@ -97,23 +97,23 @@
         return thread;
     }
 
-    /** An observation that this process makes now. */
-    static Observation observation(String what, String router, String note) {
-        return new Observation(System.nanoTime(), what, router, "", 0, "", "", note, 0);
+    /** Creates an observation of this process at the current time. */
+    static Observation observation(String event, String router, String note) {
+        return new Observation(System.nanoTime(), event, router, "", 0, "", "", note, 0);
     }
 
-    /** Only reads a script; throws {@link pearladder.config.ConfigErrors.ConfigException} with every mistake in it. */
+    /** Validates a script; throws {@link pearladder.config.ConfigErrors.ConfigException} with every error in it. */
     public static void check(Path script) {
         ScenarioPlan.read(script);
     }
 
     /**
-     * Runs a scenario with the requests that its script describes.
+     * Runs a scenario with the synthetic workload that its script describes.
      *
-     * @param folder for the observation logs, the processes' files and logs, and the table
+     * @param folder receives the observation logs, the processes' files and logs, and the table
      * @param program the command that runs this program
-     * @param routerArguments further words of the routers' command line
-     * @param progress where lines of progress go
+     * @param routerArguments additional command-line arguments of the routers
+     * @param progress receives progress lines
      */
     public static Result run(
             Path script, Path folder, List<String> program, List<String> routerArguments, PrintStream progress)
@@ -121,7 +121,7 @@
         return run(script, null, folder, program, routerArguments, progress);
     }
 
-    /** Runs a scenario with the requests of a trace; the script's flows then only say whose requests they are. */
+    /** Runs a scenario with the requests of a trace; the script's flows then only assign request class and tenant. */
     public static Result run(
             Path script,
             TraceWorkload.ReplaySettings trace,
@@ -161,7 +161,7 @@
         for (String name : routers.names()) {
             loadBalancer.add(name, routers.zone(name), routers.port(name));
         }
-        printHowToTry();
+        printExampleRequest();
         double seconds = sendLoad();
         faults.addAll(routers.stopAll());
         processes.stop(WORKERS);
@@ -191,7 +191,7 @@
         workers = new WorkerControl(http, ChildProcesses.number(line, "control"), faults::add);
     }
 
-    private void printHowToTry() {
+    private void printExampleRequest() {
         int workerCount = plan.fleet().workers().size();
         progress.println("running: " + workerCount + " engines, " + plan.routers() + " routers; while it runs, try");
         ScenarioPlan.Flow flow = plan.flows().get(0);
@@ -201,7 +201,7 @@
                 + " -d '{\"inputs\":[]}'");
     }
 
-    /** Sends the load while faults are injected; returns how many seconds it took. */
+    /** Sends the load while faults are injected; returns the duration in seconds. */
     private double sendLoad() throws InterruptedException {
         RequestSource source = trace != null ? trace : new SyntheticWorkload(plan);
         clients = new LoadGeneratorPool(plan, source, loadBalancer, statistics, observations);
@@ -219,15 +219,16 @@
     private void injectFaults(FaultInjector injector) {
         long next = injector.runDue(nanosSinceStart());
         while (next >= 0 && !Thread.currentThread().isInterrupted()) {
-            long wait = Math.min(LONGEST_FAULT_WAIT_NANOS, next - nanosSinceStart());
-            LockSupport.parkNanos(Math.max(SHORTEST_FAULT_WAIT_NANOS, wait));
+            long wait = Math.min(MAX_FAULT_WAIT_NANOS, next - nanosSinceStart());
+            LockSupport.parkNanos(Math.max(MIN_FAULT_WAIT_NANOS, wait));
             next = injector.runDue(nanosSinceStart());
         }
     }
 
     private void awaitClients() throws InterruptedException {
-        long leftMillis =
-                trace != null ? Long.MAX_VALUE : TimeUnit.NANOSECONDS.toMillis(plan.duration()) + END_TIMEOUT_MILLIS;
+        long remainingMillis = trace != null
+                ? Long.MAX_VALUE
+                : TimeUnit.NANOSECONDS.toMillis(plan.duration()) + COMPLETION_TIMEOUT_MILLIS;
         while (!clients.awaitEnd(PROGRESS_INTERVAL_SECONDS)) {
             routerUsage.sample();
             progress.println(String.format(
@@ -236,8 +237,8 @@
                     secondsSinceStart(),
                     statistics.requests(),
                     statistics.credit()));
-            leftMillis -= TimeUnit.SECONDS.toMillis(PROGRESS_INTERVAL_SECONDS);
-            if (leftMillis < 0) {
+            remainingMillis -= TimeUnit.SECONDS.toMillis(PROGRESS_INTERVAL_SECONDS);
+            if (remainingMillis < 0) {
                 faults.add("the clients did not end in time");
                 return;
             }
@@ -290,10 +291,10 @@
             clients.ignoreRetryAfter(on);
         }
 
-        /** A router that dies under the order is no fault: it gets the order from the others when it is back. */
+        /** A router that does not respond is not a fault: it learns the order from the others after its restart. */
         @Override
         public void giveRolloutOrder(RolloutScript.Order order) {
-            releases.give(order, routers.adminPorts()).stream()
+            rolloutScript.send(order, routers.adminPorts()).stream()
                     .filter(line -> !line.endsWith(RolloutScript.NO_ANSWER))
                     .forEach(faults::add);
         }
--- a/testbed/src/main/java/pearladder/testbed/ScenarioEvaluation.java
+++ b/testbed/src/main/java/pearladder/testbed/ScenarioEvaluation.java
@@ -13,17 +13,17 @@
     static final String WORKER_LOG = "engines.tape";
     static final String CLIENT_LOG = "clients.tape";
 
-    /** A run whose generator lagged more than this at p99 measured the generator. */
-    private static final long GENERATOR_LAG_MILLIS = 50;
-    /** The last line of a log may be torn where its process was killed. */
-    private static final int TORN_LINES_ALLOWED = 1;
+    /** Above this p99 lag of the load generator, a run measures the generator and not the routers. */
+    private static final long MAX_GENERATOR_LAG_MILLIS = 50;
+    /** The last line of a log may be incomplete if the process was killed while writing. */
+    private static final int MAX_INCOMPLETE_LINES = 1;
 
     /**
-     * What is known of a scenario at its end.
+     * Data recorded while a scenario ran.
      *
-     * @param startedAt on the clock of the observations, in nanoseconds
-     * @param routerUsage lines on what the routers used
-     * @param trace whose requests were sent, or null
+     * @param startedAt start time on the observations' clock, in nanoseconds
+     * @param routerUsage lines about the resource use of the routers
+     * @param trace the replayed trace, or null if the workload was synthetic
      */
     record Run(long startedAt, double seconds, List<String> routerUsage, TraceWorkload trace) {}
 
@@ -35,8 +35,8 @@
     /**
      * Creates an evaluation.
      *
-     * @param folder holds the logs, and is where the table and the results go
-     * @param faults what went wrong so far; more may be added
+     * @param folder contains the logs and receives the table and the results
+     * @param faults problems found so far; the evaluation adds to them
      */
     ScenarioEvaluation(ScenarioPlan plan, Path folder, LoadStatistics statistics, List<String> faults) {
         this.plan = plan;
@@ -69,9 +69,9 @@
     private List<Observation> readLogs() throws IOException {
         List<Observation> observations = new ArrayList<>();
         for (String name : List.of(WORKER_LOG, CLIENT_LOG)) {
-            int torn = ObservationLog.read(folder.resolve(name), observations::add);
-            if (torn > TORN_LINES_ALLOWED) {
-                faults.add(name + " has " + torn + " lines that can't be read");
+            int incompleteLines = ObservationLog.read(folder.resolve(name), observations::add);
+            if (incompleteLines > MAX_INCOMPLETE_LINES) {
+                faults.add(name + " has " + incompleteLines + " lines that can't be read");
             }
         }
         return observations;
@@ -94,12 +94,12 @@
         }
         faults.addAll(plan.expected().missedRequirements(statistics));
         double lagMillis = statistics.generatorLagMillis(99);
-        if (lagMillis > GENERATOR_LAG_MILLIS) {
+        if (lagMillis > MAX_GENERATOR_LAG_MILLIS) {
             faults.add(String.format(
                     Locale.ROOT,
                     "the generator was late by %.0f ms at p99, over %d ms: not to be quoted",
                     lagMillis,
-                    GENERATOR_LAG_MILLIS));
+                    MAX_GENERATOR_LAG_MILLIS));
         }
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/ScenarioPlan.java
+++ b/testbed/src/main/java/pearladder/testbed/ScenarioPlan.java
@@ -11,20 +11,20 @@
 import pearladder.emulator.FleetPlan;
 
 /**
- * A scenario as its script describes it; all spans in nanoseconds.
+ * The parsed script of a scenario; all durations in nanoseconds.
  *
  * @param duration length of the scenario
- * @param slack how late a response or an attempt may be seen before it counts, for sockets and pauses of the machine
- * @param zones the zones, in the order of the routers: router i is in zone i modulo their number
- * @param routers how many there are
- * @param rate mean requests a second
- * @param flows what is requested; one at least
- * @param faults the faults, in the order of their starts
+ * @param slack tolerance for late responses and attempts in the invariant checks, for socket delays and machine pauses
+ * @param zones the zones, in the order of the routers: router i is in zone i modulo the number of zones
+ * @param routers number of routers
+ * @param rate mean requests per second
+ * @param flows flows of requests; at least one
+ * @param faults the faults, ordered by start time
  * @param rolloutOrders orders on rollouts
- * @param invariantSettings what the invariant checks need of the routers' configuration
+ * @param invariantSettings the parts of the routers' configuration that the invariant checks use
  * @param fleet the emulated workers
  * @param network used by simulations only
- * @param expected what must hold at the end
+ * @param expected requirements checked at the end
  * @param rateVariation how the rate varies
  */
 public record ScenarioPlan(
@@ -45,25 +45,25 @@
         Expected expected,
         RateVariation rateVariation) {
     /**
-     * How clients behave.
+     * Client behaviour.
      *
-     * @param maxAttempts attempts of a request at the most
-     * @param retryPause before a retry, where no Retry-After was given
-     * @param leastPatience the least share of the deadline that an attempt is given; each draws one from there to 1
-     * @param loadBalancerLag for how long the load balancer goes on sending to a dead router
-     * @param cancelShare share of attempts whose client cancels early, at a random moment
-     * @param lanes event loops that send; one bears about a thousand requests a second
+     * @param maxAttempts maximum number of attempts per request
+     * @param retryPause delay before a retry if the response had no Retry-After
+     * @param minAttemptTimeoutShare minimum share of the deadline for an attempt; each draws one from there to 1
+     * @param loadBalancerLag how long the load balancer keeps sending to a dead router
+     * @param cancelShare share of attempts that the client cancels early, at a random time
+     * @param lanes number of sending event loops; one sustains about 1000 requests per second
      */
     public record Clients(
             int maxAttempts,
             long retryPause,
-            double leastPatience,
+            double minAttemptTimeoutShare,
             long loadBalancerLag,
             double cancelShare,
             int lanes) {
-        /** The share of the deadline that an attempt is given, for a random number from 0 to 1. */
-        double patience(double uniform) {
-            return leastPatience + (1 - leastPatience) * uniform;
+        /** Returns the attempt timeout as a share of the deadline, for a uniform random number from 0 to 1. */
+        double attemptTimeoutShare(double uniform) {
+            return minAttemptTimeoutShare + (1 - minAttemptTimeoutShare) * uniform;
         }
     }
 
@@ -72,11 +72,11 @@
      *
      * @param requestClass the request class
      * @param tenant the tenant; empty for none
-     * @param share of all requests, relative to the other flows
-     * @param modelPrefix of the models' names, which end with a number from 0 on
-     * @param modelCount how many there are
-     * @param skew of the models' popularity: the exponent of Zipf's law, 0 for none
-     * @param shiftInterval how often the popularity moves on by one model; 0 for never
+     * @param share weight of this flow relative to the other flows
+     * @param modelPrefix prefix of the model names, which end with a number starting at 0
+     * @param modelCount number of models
+     * @param skew exponent of Zipf's law for the models' popularity, 0 for uniform popularity
+     * @param shiftInterval interval at which the popularity shifts by one model; 0 for never
      * @param meanWork mean work of a request on a standard core
      */
     public record Flow(
@@ -89,17 +89,17 @@
             long shiftInterval,
             long meanWork) {
         /**
-         * Chooses among flows in proportion to their shares.
+         * Chooses a flow in proportion to the shares of the flows.
          *
-         * @param uniform from 0 up to, not including, 1
-         * @return an index
+         * @param uniform random number from 0 (inclusive) to 1 (exclusive)
+         * @return the index of the chosen flow
          */
         static int choose(List<Flow> flows, double uniform) {
             double sum = flows.stream().mapToDouble(Flow::share).sum();
-            double left = uniform * sum;
+            double remaining = uniform * sum;
             for (int i = 0; i < flows.size(); i++) {
-                left -= flows.get(i).share();
-                if (left < 0) {
+                remaining -= flows.get(i).share();
+                if (remaining < 0) {
                     return i;
                 }
             }
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Kinds of faults, by the words of scripts; docs/days.md says what each does. */
+    /** Kinds of faults, with their names in scripts; docs/days.md describes each. */
     public enum FaultKind {
         BURST("burst"),
         ONE_OFFS("one-offs"),
@@ -149,12 +149,12 @@
             this.code = code;
         }
 
-        /** The word of scripts and reports. */
+        /** Returns the name used in scripts and reports. */
         public String code() {
             return code;
         }
 
-        /** Whether only a simulation can inject it: there is no means for it with processes on one machine. */
+        /** Returns whether only a simulation can inject the fault: it has no implementation for real processes. */
         public boolean isSimulatedOnly() {
             return compareTo(ENGINES_PAUSED) >= 0;
         }
@@ -163,32 +163,32 @@
     /**
      * What a simulation assumes of the network and the processes.
      *
-     * @param delay of a message one way
-     * @param routerStart from a router's start until it is ready
+     * @param delay one-way message delay
+     * @param routerStart time from a router's start until it is ready
      */
     public record Network(long delay, long routerStart) {}
 
     /**
      * A rate that varies as a sine wave.
      *
-     * @param period from one peak to the next, 0 for a constant rate
-     * @param amplitude amplitude as a share of the mean, 0 to 1
+     * @param period duration of one cycle, 0 for a constant rate
+     * @param amplitude amplitude as a share of the mean rate, 0 to 1
      */
     public record RateVariation(long period, double amplitude) {
-        /** The rate so many nanoseconds after the start, as a multiple of the mean. */
-        double at(long nanos) {
-            return period == 0 ? 1 : 1 + amplitude * Math.sin(2 * Math.PI * nanos / period);
+        /** Returns the rate as a multiple of the mean, at a time in nanoseconds after the start. */
+        double at(long nanosSinceStart) {
+            return period == 0 ? 1 : 1 + amplitude * Math.sin(2 * Math.PI * nanosSinceStart / period);
         }
     }
 
     /**
-     * What must hold at the end of the scenario; NaN where nothing is required.
+     * Requirements checked at the end of the scenario; NaN means no requirement.
      *
-     * @param leastCredit the least share of the priority weight that must be earned
-     * @param leastWindowCredit the least such share in any ten seconds
+     * @param leastCredit minimum share of the priority weight that must be earned
+     * @param leastWindowCredit minimum such share in any ten seconds
      */
     public record Expected(double leastCredit, double leastWindowCredit) {
-        /** A line for each requirement that was missed. */
+        /** Returns a line for each requirement that was missed. */
         public List<String> missedRequirements(LoadStatistics statistics) {
             List<String> missed = new ArrayList<>();
             if (statistics.credit() < leastCredit) {
@@ -212,11 +212,11 @@
     /**
      * One fault.
      *
-     * @param startAt start, from the start of the scenario
-     * @param share of the workers (or routers, models, requests) that it affects
-     * @param factor how many times slower, heavier or more
-     * @param probability chance with which a request is affected there
-     * @param zone the zone that it is limited to; empty for all
+     * @param startAt start time, relative to the start of the scenario
+     * @param share share of the workers (or routers, models, requests) affected
+     * @param factor multiplier of the slowdown, the work or the rate
+     * @param probability probability that a request at an affected worker is affected
+     * @param zone zone to which the fault is limited; empty for all
      */
     public record Fault(
             long startAt,
@@ -227,17 +227,17 @@
             double probability,
             String zone) {}
 
-    /** Reads a script; throws {@link pearladder.config.ConfigErrors.ConfigException} with every mistake in it. */
+    /** Parses a script; throws {@link pearladder.config.ConfigErrors.ConfigException} with every error in it. */
     public static ScenarioPlan read(Path file) {
         return read(YamlParser.parse(file));
     }
 
-    /** Reads a script that was parsed already; throws as {@link #read(Path)} does. */
+    /** Creates a plan from parsed YAML; throws as {@link #read(Path)} does. */
     public static ScenarioPlan read(ConfigValue file) {
         return new ScenarioPlanParser(file).parse();
     }
 
-    /** Zone and cell of each worker by its id, written "zone/cell". */
+    /** Returns the location of each worker as "zone/cell", by worker ID. */
     public Map<String, String> workerLocations() {
         Map<String, String> locations = new LinkedHashMap<>();
         fleet.workers().forEach(worker -> locations.put(worker.id(), worker.zone() + "/" + worker.cell()));
--- a/testbed/src/main/java/pearladder/testbed/ScenarioPlanParser.java
+++ b/testbed/src/main/java/pearladder/testbed/ScenarioPlanParser.java
@@ -15,9 +15,9 @@
 import pearladder.testbed.ScenarioPlan.Network;
 import pearladder.testbed.ScenarioPlan.RateVariation;
 
-/** Reads the script of a scenario and names every mistake in it; docs/days.md describes the keys. */
+/** Parses the script of a scenario and reports every error in it; docs/days.md describes the keys. */
 final class ScenarioPlanParser {
-    /** Sections whose keys must all be known. The routers check their own section. */
+    /** Sections in which unknown keys are errors. The routers validate their own section. */
     private static final Set<String> CHECKED_SECTIONS =
             Set.of("day", "clients", "traffic", "troubles", "releases", "fleet", "network", "expect");
 
@@ -39,17 +39,17 @@
         this.day = file.at("day");
     }
 
-    /** The plan; throws {@link pearladder.config.ConfigErrors.ConfigException} where there is any mistake. */
+    /** Returns the plan; throws {@link pearladder.config.ConfigErrors.ConfigException} with every error found. */
     ScenarioPlan parse() {
-        InvariantSettings rules = InvariantSettings.read(file.at("router"));
-        long lasting = day.at("lasting").durationNanos();
+        InvariantSettings invariantSettings = InvariantSettings.read(file.at("router"));
+        long duration = day.at("lasting").durationNanos();
         List<String> zones = zones();
-        List<Flow> flows = flows(rules);
-        List<Fault> faults = faults(lasting, zones);
+        List<Flow> flows = flows(invariantSettings);
+        List<Fault> faults = faults(duration, zones);
         FleetPlan fleet = fleet(faults);
         ScenarioPlan plan = new ScenarioPlan(
                 day.at("name").text("day"),
-                lasting,
+                duration,
                 day.at("seed").wholeNumber(1, 0, Integer.MAX_VALUE),
                 day.at("slack").durationNanos("150 ms"),
                 zones,
@@ -58,12 +58,12 @@
                 clients(file.at("clients")),
                 flows,
                 faults,
-                releases(),
-                rules,
+                rolloutOrders(),
+                invariantSettings,
                 fleet,
                 network(file.at("network")),
                 expected(file.at("expect")),
-                tide(day.at("tide")));
+                rateVariation(day.at("tide")));
         file.requireValid(CHECKED_SECTIONS);
         return plan;
     }
@@ -76,8 +76,8 @@
         return zones;
     }
 
-    private List<Flow> flows(InvariantSettings rules) {
-        List<Flow> flows = file.at("traffic").each(flow -> flow(flow, rules));
+    private List<Flow> flows(InvariantSettings invariantSettings) {
+        List<Flow> flows = file.at("traffic").each(flow -> flow(flow, invariantSettings));
         if (flows.isEmpty()) {
             file.at("traffic")
                     .addError("no traffic", "write \"- {category: ..., models: pair-, count: 20, work: 20 ms}\"");
@@ -85,10 +85,10 @@
         return flows;
     }
 
-    private static Flow flow(ConfigValue flow, InvariantSettings rules) {
+    private static Flow flow(ConfigValue flow, InvariantSettings invariantSettings) {
         String requestClass = flow.at("category").text();
-        if (!rules.requestClasses().containsKey(requestClass)) {
-            String known = String.join(", ", rules.requestClasses().keySet());
+        if (!invariantSettings.requestClasses().containsKey(requestClass)) {
+            String known = String.join(", ", invariantSettings.requestClasses().keySet());
             flow.at("category").addError("unknown category \"" + requestClass + "\"", "write one of " + known);
         }
         return new Flow(
@@ -102,16 +102,16 @@
                 flow.at("work").durationNanos("20 ms"));
     }
 
-    private List<Fault> faults(long lasting, List<String> zones) {
-        List<Fault> faults = new ArrayList<>(file.at("troubles").each(fault -> fault(fault, lasting, zones)));
+    private List<Fault> faults(long duration, List<String> zones) {
+        List<Fault> faults = new ArrayList<>(file.at("troubles").each(fault -> fault(fault, duration, zones)));
         faults.sort(Comparator.comparingLong(Fault::startAt));
         return faults;
     }
 
-    private static Fault fault(ConfigValue fault, long scenarioLasting, List<String> zones) {
-        long at = fault.at("at").durationNanos();
-        long lasting = fault.at("lasting").durationNanos("0 s");
-        if (at + lasting > scenarioLasting) {
+    private static Fault fault(ConfigValue fault, long scenarioDuration, List<String> zones) {
+        long startAt = fault.at("at").durationNanos();
+        long duration = fault.at("lasting").durationNanos("0 s");
+        if (startAt + duration > scenarioDuration) {
             fault.at("at").addError("the trouble ends after the day", "begin it earlier, or make the day longer");
         }
         String zone = fault.at("hall").text("");
@@ -119,8 +119,8 @@
             fault.at("hall").addError("unknown hall \"" + zone + "\"", "write one of " + String.join(", ", zones));
         }
         return new Fault(
-                at,
-                lasting,
+                startAt,
+                duration,
                 fault.at("what").enumConstant(FaultKind.class, null),
                 fault.at("share").number(0.2, 0, 1),
                 fault.at("times").number(5, 1, 1000),
@@ -148,7 +148,7 @@
                 clients.at("lanes").wholeNumber(1, 1, MAX_CLIENT_LANES));
     }
 
-    private List<RolloutScript.Order> releases() {
+    private List<RolloutScript.Order> rolloutOrders() {
         return file.at("releases").each(RolloutScript::read).stream()
                 .flatMap(List::stream)
                 .toList();
@@ -166,8 +166,9 @@
                 expected.at("worst_10_s").number(Double.NaN, 0, 1));
     }
 
-    private static RateVariation tide(ConfigValue tide) {
+    private static RateVariation rateVariation(ConfigValue variation) {
         return new RateVariation(
-                tide.at("period").durationNanos("0 s"), tide.at("swing").number(0.5, 0, 1));
+                variation.at("period").durationNanos("0 s"),
+                variation.at("swing").number(0.5, 0, 1));
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/ScenarioScripts.java
+++ b/testbed/src/main/java/pearladder/testbed/ScenarioScripts.java
@@ -5,17 +5,17 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.file.Path;
 
-/** Changes to the script of a scenario that keep its meaning: other sizes, another rate. */
+/** Changes the fleet size, the number of routers or the request rate in the script of a scenario. */
 public final class ScenarioScripts {
     private ScenarioScripts() {}
 
-    /** Only reads a script; throws {@link pearladder.config.ConfigErrors.ConfigException} with every mistake in it. */
+    /** Validates a script; throws {@link pearladder.config.ConfigErrors.ConfigException} with every error in it. */
     public static void check(Path file) {
         ScenarioPlan.read(file);
     }
 
     /**
-     * The same scenario for a larger or smaller fleet: requests, models and the model store are scaled with the number
+     * Scales a script to a larger or smaller fleet: requests, models and the model store are scaled with the number
      * of workers, so that only the size changes.
      */
     public static void grow(ObjectNode script, int workerCount, int routers) {
@@ -48,7 +48,7 @@
         return group.path("count").asInt(1);
     }
 
-    /** Replaces the sizes of a script; 0, or a rate that is NaN, keeps what it says. */
+    /** Replaces the sizes in a script; a size of 0, or a rate of NaN, keeps the value of the script. */
     public static void resize(ObjectNode script, int workerCount, int routers, double rate) {
         ObjectNode day = script.withObject("/day");
         if (routers > 0) {
@@ -62,16 +62,16 @@
         }
     }
 
-    /** Keeps the proportions of the groups; the last takes what rounding leaves. */
+    /** Keeps the proportions of the groups; the last group receives the rounding remainder. */
     private static void resizeGroups(ArrayNode groups, int workerCount) {
-        int before = workers(groups);
-        int left = workerCount;
+        int previousTotal = workers(groups);
+        int remaining = workerCount;
         for (int i = 0; i < groups.size(); i++) {
             JsonNode group = groups.get(i);
             boolean last = i == groups.size() - 1;
-            int count = last ? left : Math.round((float) countOf(group) * workerCount / before);
+            int count = last ? remaining : Math.round((float) countOf(group) * workerCount / previousTotal);
             ((ObjectNode) group).put("count", Math.max(1, count));
-            left -= count;
+            remaining -= count;
         }
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/ScenarioSummary.java
+++ b/testbed/src/main/java/pearladder/testbed/ScenarioSummary.java
@@ -37,12 +37,12 @@
                 .check(observations);
     }
 
-    /** The result of the invariant checks. */
+    /** Returns the result of the invariant checks. */
     public InvariantChecker.Verdict verdict() {
         return verdict;
     }
 
-    /** The first lines of the table: the requests by class, the versions that served them, and the loads. */
+    /** Returns the first lines of the table: the requests by class, the versions that served them, and the loads. */
     public List<String> loadLines() {
         List<String> lines = new ArrayList<>(statistics.table());
         lines.addAll(VersionShares.lines(observations, startedAt, plan.rolloutOrders()));
@@ -50,7 +50,7 @@
         return lines;
     }
 
-    /** The last lines of the table: an empty one, the invariants, and what went wrong beside them. */
+    /** Returns the last lines of the table: an empty line, the invariants, and other faults. */
     public List<String> verdictLines(List<String> faults) {
         List<String> lines = new ArrayList<>();
         lines.add("");
@@ -59,7 +59,7 @@
         return lines;
     }
 
-    /** The results as {@link #write} takes them, to which the caller may add members. */
+    /** Returns the results in the form that {@link #write} accepts; the caller may add members. */
     public ObjectNode results(List<String> table, List<String> faults) {
         return Results.of(plan, statistics, verdict, faults, observations, startedAt, table);
     }
--- a/testbed/src/main/java/pearladder/testbed/SingleEffectCheck.java
+++ b/testbed/src/main/java/pearladder/testbed/SingleEffectCheck.java
@@ -8,12 +8,12 @@
 import pearladder.testbed.ObservedRequest.Attempt;
 
 /**
- * Checks that nothing takes effect twice. By attempts: one that arrived and was not refused may have run, and the
- * request class says what may follow it. By effects: a non-idempotent request, or an idempotency key, runs once.
+ * Checks that no request takes effect twice. By attempts: an attempt that arrived and was not refused may have run, and
+ * the request class restricts later attempts. By effects: a non-idempotent request or an idempotency key runs once.
  */
 final class SingleEffectCheck {
     private record Location(String zone, long cell) {
-        /** Reads "zone/cell". */
+        /** Parses "zone/cell". */
         static Location of(String location) {
             int slash = location.lastIndexOf('/');
             return new Location(location.substring(0, slash), Long.parseLong(location.substring(slash + 1)));
@@ -28,8 +28,8 @@
     /**
      * Creates a check.
      *
-     * @param slack in nanoseconds
-     * @param workerLocations zone and cell of each worker, "zone/cell"
+     * @param slack tolerance in nanoseconds
+     * @param workerLocations location of each worker as "zone/cell", by worker ID
      */
     SingleEffectCheck(
             InvariantSettings settings, long slack, Map<String, String> workerLocations, CheckFindings findings) {
@@ -44,7 +44,7 @@
         checkEffects(inOrder, requests);
     }
 
-    /** The terms of a request's class, or null where it has none or may take effect any number of times. */
+    /** Returns the terms of the request's class, or null if it has none or is idempotent. */
     private RequestClassTerms termsOf(ObservedRequest request) {
         RequestClassTerms terms =
                 request == null ? null : settings.requestClasses().get(request.requestClass());
@@ -91,7 +91,7 @@
                     retry.arrivedAt(),
                     what + " was repeated after the time for which " + first.worker() + " remembers it");
         }
-        if (!shareMemory(terms.deduplicationScope(), first.worker(), retry.worker())) {
+        if (!shareIdempotencyKeys(terms.deduplicationScope(), first.worker(), retry.worker())) {
             findings.recordViolation(
                     Invariant.NO_EFFECT_TWICE,
                     retry.arrivedAt(),
@@ -99,8 +99,8 @@
         }
     }
 
-    /** Whether two workers share the memory of idempotency keys. */
-    private boolean shareMemory(RequestClassTerms.DeduplicationScope group, String worker, String other) {
+    /** Returns whether two workers share their retained idempotency keys. */
+    private boolean shareIdempotencyKeys(RequestClassTerms.DeduplicationScope group, String worker, String other) {
         if (group == RequestClassTerms.DeduplicationScope.ALL) {
             return true;
         }
@@ -114,10 +114,10 @@
                 : one.cell() == two.cell();
     }
 
-    /** A worker that replaced another in a deployment ("engine-3~15") is where the one of its name was ("engine-3"). */
+    /** A worker that replaced another in a deployment ("engine-3~15") has the location of the original ("engine-3"). */
     private Location locationOf(String worker) {
-        int successor = worker.indexOf('~');
-        return locations.get(successor < 0 ? worker : worker.substring(0, successor));
+        int suffixStart = worker.indexOf('~');
+        return locations.get(suffixStart < 0 ? worker : worker.substring(0, suffixStart));
     }
 
     private void checkEffects(List<Observation> inOrder, Map<String, ObservedRequest> requests) {
--- a/testbed/src/main/java/pearladder/testbed/SyntheticWorkload.java
+++ b/testbed/src/main/java/pearladder/testbed/SyntheticWorkload.java
@@ -12,7 +12,7 @@
 public final class SyntheticWorkload implements RequestSource {
     /** The rate never falls below this share of the mean. */
     private static final double LEAST_RATE_SHARE = 0.01;
-    /** Work is drawn evenly from this share of the mean up to it plus 1. */
+    /** Work is uniformly distributed between this share of the mean and this share plus 1. */
     private static final double LEAST_WORK_SHARE = 0.5;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -24,7 +24,7 @@
     private long due;
     private long number;
 
-    /** Creates a workload that begins with the scenario. */
+    /** Creates a workload that starts with the first request of the scenario. */
     public SyntheticWorkload(ScenarioPlan plan) {
         this.plan = plan;
         SplittableRandom random = new SplittableRandom(plan.seed());
@@ -41,14 +41,14 @@
         if (due >= plan.duration()) {
             return null;
         }
-        // the order of the draws is part of what a seed means
+        // the order of the random draws must not change: it determines the requests of a seed
         int flowIndex = ScenarioPlan.Flow.choose(plan.flows(), contents.nextDouble());
         ScenarioPlan.Flow flow = plan.flows().get(flowIndex);
         String zone = plan.zones().get(contents.nextInt(plan.zones().size()));
         double work = flow.meanWork() * (LEAST_WORK_SHARE + contents.nextDouble());
         double heavyDraw = contents.nextDouble();
         double oneOffDraw = contents.nextDouble();
-        double patience = plan.clients().patience(contents.nextDouble());
+        double attemptTimeoutShare = plan.clients().attemptTimeoutShare(contents.nextDouble());
         int rank = popularities.get(flowIndex).rank(contents.nextDouble());
         String model = flow.modelPrefix() + model(flow, rank);
         for (ScenarioPlan.Fault fault : plan.faults()) {
@@ -62,10 +62,10 @@
             }
         }
         return new ScheduledRequest(
-                due, number++, flow.requestClass(), flow.tenant(), model, zone, Math.round(work), patience);
+                due, number++, flow.requestClass(), flow.tenant(), model, zone, Math.round(work), attemptTimeoutShare);
     }
 
-    /** Requests a second at the last arrival. */
+    /** Returns the request rate per second at the time of the last arrival. */
     private double rate() {
         double bursts = 1;
         for (ScenarioPlan.Fault fault : plan.faults()) {
@@ -80,7 +80,7 @@
         return due >= fault.startAt() && due < fault.startAt() + fault.duration();
     }
 
-    /** The model of a rank, which moves on by one with each shift of the popularity. */
+    /** Returns the model with a popularity rank; the mapping advances by one model with each popularity shift. */
     private int model(ScenarioPlan.Flow flow, int rank) {
         return flow.shiftInterval() == 0 ? rank : (int) ((rank + due / flow.shiftInterval()) % flow.modelCount());
     }
--- a/testbed/src/main/java/pearladder/testbed/TimedFault.java
+++ b/testbed/src/main/java/pearladder/testbed/TimedFault.java
@@ -8,20 +8,20 @@
 import pearladder.testbed.ScenarioPlan.FaultKind;
 
 /**
- * A fault that one command of the workers' control endpoint begins and the same command with another figure ends.
+ * A fault that starts and ends with the same command of the workers' control endpoint, with different values.
  *
- * @param command a word of the control endpoint
- * @param figure with which it begins
- * @param usual the figure with which it ends
+ * @param command command name of the control endpoint
+ * @param figure value that starts the fault
+ * @param usual value that ends the fault
  */
 record TimedFault(String command, Scope scope, ToDoubleFunction<Fault> figure, ToDoubleFunction<ScenarioPlan> usual) {
-    /** Which workers a command names. */
+    /** Which workers a command affects. */
     enum Scope {
-        /** Those drawn by the fault's share. */
+        /** The workers selected at random by the fault's share. */
         SELECTED,
-        /** All of the fault's zone. */
+        /** All workers in the fault's zone. */
         ZONE,
-        /** None: it concerns the model store or the endpoint registry. */
+        /** No workers: the command affects the model store or the endpoint registry. */
         NONE
     }
 
@@ -29,12 +29,12 @@
     private static final double NANOS_PER_MILLI = 1e6;
     private static final Map<FaultKind, TimedFault> BY_KIND = byKind();
 
-    /** The timed fault of a kind, or null where the kind is injected in another way. */
+    /** Returns the timed fault of a kind, or null if the kind is injected in another way. */
     static TimedFault of(FaultKind kind) {
         return BY_KIND.get(kind);
     }
 
-    /** The workers that its command names. */
+    /** Returns the workers that the command affects. */
     List<String> workers(List<String> selected, List<String> zone) {
         return switch (scope) {
             case SELECTED -> selected;
--- a/testbed/src/main/java/pearladder/testbed/VersionShares.java
+++ b/testbed/src/main/java/pearladder/testbed/VersionShares.java
@@ -10,9 +10,9 @@
 import pearladder.emulator.Observation;
 import pearladder.kserve.RequestOutcome;
 
-/** What clients saw of rollouts: the new version's share of the answers in each window, and how fast rollbacks were. */
+/** Rollout results seen by clients: the new version's share of the answers in each window, and rollback delays. */
 final class VersionShares {
-    /** A model as an answer names it, "model@version"; the version is empty where it names none. */
+    /** The model named in an answer, "model@version"; the version is empty if the answer names none. */
     record VersionedModel(String model, String version) {
         static VersionedModel of(Observation seen) {
             int separator = seen.model().lastIndexOf('@');
@@ -23,7 +23,7 @@
         }
     }
 
-    /** A rollout to a version of the models of a prefix. */
+    /** A rollout of the models with a name prefix to a version. */
     private record Rollout(String prefix, String version) {
         static Rollout of(RolloutScript.Order start) {
             return new Rollout(start.modelPrefix(), newVersion(start));
@@ -35,20 +35,20 @@
     }
 
     private static final class Answers {
-        private long all;
-        private long ofVersion;
+        private long total;
+        private long byNewVersion;
 
         String share() {
-            return String.format(Locale.ROOT, "%.2f", (double) ofVersion / all);
+            return String.format(Locale.ROOT, "%.2f", (double) byNewVersion / total);
         }
     }
 
     private VersionShares() {}
 
     /**
-     * Lines for the table of a scenario.
+     * Returns lines for the table of a scenario.
      *
-     * @param observations in the order of time of each observer
+     * @param observations ordered by time for each observer
      * @param startedAt start of the scenario on the observations' clock, in nanoseconds
      */
     static List<String> lines(List<Observation> observations, long startedAt, List<RolloutScript.Order> orders) {
@@ -68,7 +68,7 @@
         return lines;
     }
 
-    /** The version to which a start order leads. */
+    /** Returns the target version of a start order. */
     static String newVersion(RolloutScript.Order start) {
         return start.plan().path("to").asText();
     }
@@ -84,8 +84,8 @@
                     && seen.at() >= startedAt) {
                 long number = (seen.at() - startedAt) / LoadStatistics.WINDOW_NANOS;
                 Answers answers = windows.computeIfAbsent(number, key -> new Answers());
-                answers.all++;
-                answers.ofVersion += answered.version().equals(rollout.version()) ? 1 : 0;
+                answers.total++;
+                answers.byNewVersion += answered.version().equals(rollout.version()) ? 1 : 0;
             }
         }
         return windows;
--- a/testbed/src/main/java/pearladder/testbed/WindowCounts.java
+++ b/testbed/src/main/java/pearladder/testbed/WindowCounts.java
@@ -7,8 +7,8 @@
 import pearladder.kserve.RequestOutcome;
 
 /**
- * What was observed at workers and clients within one window of a scenario, {@link LoadStatistics#WINDOW_SECONDS}
- * long.
+ * Counts of the observations at workers and clients within one window of a scenario. A window lasts
+ * {@link LoadStatistics#WINDOW_SECONDS}.
  */
 final class WindowCounts {
     private long attempts;
@@ -16,14 +16,14 @@
     private long refusals;
     private long loads;
     private long failedLoads;
-    /** How many stood at the window's last event. */
+    /** Number of loaded instances at the last event of the window. */
     private long instances;
 
     private long successes;
     private long successesByVersion;
 
     /**
-     * Counts observations, which must be in the order of time for the instances to be right; by the window's number.
+     * Counts observations by window number. They must be in time order, or the instance counts are wrong.
      */
     static TreeMap<Long, WindowCounts> of(List<Observation> observations, long startedAt) {
         TreeMap<Long, WindowCounts> windows = new TreeMap<>();
--- a/testbed/src/main/java/pearladder/testbed/WorkerControl.java
+++ b/testbed/src/main/java/pearladder/testbed/WorkerControl.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Client of the control endpoint of the emulated workers: lists the workers that run and injects faults into them. */
+/** Client of the control endpoint of the emulated workers: lists the running workers and injects faults into them. */
 final class WorkerControl {
     private static final Duration TIMEOUT = Duration.ofSeconds(60);
-    /** A line of the list of workers: id, zone, state and incarnation, parted by spaces. */
+    /** Number of space-separated fields in a line of the worker list: ID, zone, state and incarnation. */
     private static final int WORKER_FIELDS = 4;
 
     private final LoopbackHttpClient http;
@@ -22,7 +22,7 @@
     /**
      * Creates a client.
      *
-     * @param failures is given a line for each request that failed
+     * @param failures receives a line for each failed request
      */
     WorkerControl(LoopbackHttpClient http, int port, Consumer<String> failures) {
         this.http = http;
@@ -30,7 +30,7 @@
         this.failures = failures;
     }
 
-    /** The ids of the workers that run in a zone, or in all zones where it is empty. */
+    /** Returns the IDs of the running workers in a zone, or in all zones if the zone is empty. */
     List<String> running(String zone) {
         List<String> running = new ArrayList<>();
         for (String line : get("/engines").split("\n")) {
@@ -44,7 +44,7 @@
         return running;
     }
 
-    /** Injects a fault; what it does, and what the figure means, is docs/emulator.md's. */
+    /** Injects a fault; docs/emulator.md describes the faults and the meaning of the figure. */
     void inject(String fault, List<String> workers, String model, double figure) {
         String modelParameter = model.isEmpty() ? "" : "&model=" + URLEncoder.encode(model, StandardCharsets.UTF_8);
         get("/do?what=" + fault + "&engines=" + String.join(",", workers) + "&figure=" + figure + modelParameter);
