--- a/cli/src/main/java/pearladder/cli/TraceCommand.java
+++ b/cli/src/main/java/pearladder/cli/TraceCommand.java
@@ -180,7 +180,7 @@
                 new TraceGenerator.Settings(models, skew, rate, seconds, timers, bursts, work, seed);
         try (BufferedWriter writer = Files.newBufferedWriter(to);
                 TraceWriter cut = new TraceWriter(writer, 0, Long.MAX_VALUE, 1, 0)) {
-            TraceGenerator.make(terms, cut);
+            TraceGenerator.generate(terms, cut);
             spec.commandLine().getOut().println(cut.written() + " calls written to " + to);
         }
         return 0;
--- a/testbed/src/main/java/pearladder/traces/DurationTables.java
+++ b/testbed/src/main/java/pearladder/traces/DurationTables.java
@@ -18,7 +18,7 @@
  * @param memory in MB by app
  */
 public record DurationTables(Map<String, Double> durations, Map<String, Double> memory) {
-    /** No files. */
+    /** Tables for a trace without these files. */
     public static final DurationTables NONE = new DurationTables(Map.of(), Map.of());
 
     /** Reads the files that are given; either may be null. */
--- a/testbed/src/main/java/pearladder/traces/Layout.java
+++ b/testbed/src/main/java/pearladder/traces/Layout.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The published layouts that are read, and the plain one of this project. */
+/** The supported published layouts, and the plain layout of this project. */
 public enum Layout {
-    /** Ours: arrival_s,model,work_ms,memory_mb,category,account; the last four may be empty. */
+    /** This project's own layout: arrival_s,model,work_ms,memory_mb,category,account; the last four may be empty. */
     PLAIN(List.of("arrival_s", "model", "work_ms", "memory_mb", "category", "account"), true),
     /** Azure Functions 2019, invocations per function and minute: four columns, then the minutes 1 to 1440. */
     AZURE_FUNCTIONS_2019(List.of("HashOwner", "HashApp", "HashFunction", "Trigger", "1", "2", "3"), true),
-    /** Azure Functions 2021, a row an invocation, in the order of their ends; seconds. */
+    /** Azure Functions 2021, one row for each invocation, in order of their ends; seconds. */
     AZURE_FUNCTIONS_2021(List.of("app", "func", "end_timestamp", "duration"), true),
     /** Azure LLM inference 2023 and 2024. */
     AZURE_LLM(List.of("TIMESTAMP", "ContextTokens", "GeneratedTokens"), true),
@@ -29,22 +29,22 @@
         this.hasHeader = hasHeader;
     }
 
-    /** Whether the published files begin with a line of column names. */
+    /** Returns whether the published files begin with a line of column names. */
     public boolean hasHeader() {
         return hasHeader;
     }
 
-    /** The columns that a header must begin with. */
+    /** Returns the columns that a header must begin with. */
     public List<String> header() {
         return header;
     }
 
-    /** Its name on the command line. */
+    /** Returns its name on the command line. */
     public String word() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The layout of that word, or null. */
+    /** Returns the layout with this command-line name, or null. */
     public static Layout of(String word) {
         for (Layout layout : values()) {
             if (layout.word().equals(word)) {
@@ -54,7 +54,7 @@
         return null;
     }
 
-    /** The layout that a first line shows, or null: by its header, else by its number of columns and their kind. */
+    /** Returns the layout detected from the first line (by header, else by number and type of columns), or null. */
     static Layout guess(List<String> first) {
         for (Layout layout : values()) {
             if (layout.hasHeader
--- a/testbed/src/main/java/pearladder/traces/MinuteCounts.java
+++ b/testbed/src/main/java/pearladder/traces/MinuteCounts.java
@@ -20,11 +20,11 @@
     /**
      * The counts of one function.
      *
-     * @param minutes those in which it was invoked, in order
-     * @param counts by the same index
+     * @param minutes the minutes in which it was invoked, in ascending order
+     * @param counts invocations in each of these minutes, by the same index
      * @param phase of its requests within a minute, 0 to 1
-     * @param work nanoseconds, 0 where it is not known
-     * @param line of the file
+     * @param work nanoseconds; 0 if unknown
+     * @param line line number in the file
      */
     private record Function(
             String model,
@@ -35,7 +35,7 @@
             long work,
             double memoryMb,
             long line) {
-        /** Request k of those of a minute. */
+        /** Returns the request with index {@code k} among the {@code count} requests of a minute. */
         TraceRequest request(int minute, int count, int k) {
             long at = minute * MINUTE_NANOS + (long) (MINUTE_NANOS * ((k + phase) / count));
             return new TraceRequest(at, model, work, memoryMb, "", tenant, line);
@@ -61,8 +61,8 @@
     /**
      * Adds a row.
      *
-     * @param counts by minute
-     * @param line of the file
+     * @param counts invocations by minute of the day
+     * @param line line number in the file
      */
     void add(String owner, String app, String function, int[] counts, long line) {
         int[] minutes = IntStream.range(0, counts.length)
@@ -76,14 +76,14 @@
                 owner,
                 minutes,
                 IntStream.of(minutes).map(minute -> counts[minute]).toArray(),
-                Hashes.share(function),
+                Hashes.unitInterval(function),
                 Math.round(durations.getOrDefault(function, 0.0) * NANOS_PER_MILLI),
                 memory.getOrDefault(app, Double.NaN),
                 line));
     }
 
-    /** Gives all requests in the order of time. */
-    void give(Consumer<TraceRequest> out) {
+    /** Passes on all requests in order of arrival time. */
+    void emitInOrder(Consumer<TraceRequest> out) {
         int[] next = new int[functions.size()];
         List<TraceRequest> requests = new ArrayList<>();
         for (int minute = 0; minute <= lastMinute; minute++) {
--- a/testbed/src/main/java/pearladder/traces/ReorderBuffer.java
+++ b/testbed/src/main/java/pearladder/traces/ReorderBuffer.java
@@ -4,13 +4,13 @@
 import java.util.function.Consumer;
 
 /**
- * Puts requests in the order of their arrival, within a window of time and a bound on requests held: one that comes
- * later than the window is left out and reported. Requests of the same moment keep the order of their lines.
+ * Sorts requests by arrival time, within a window of time and a bound on the requests held: a request that comes
+ * later than the window is left out and reported. Requests with equal arrival times keep the order of their lines.
  */
 final class ReorderBuffer implements Consumer<TraceRequest> {
-    private record Held(TraceRequest request, long number) implements Comparable<Held> {
+    private record BufferedRequest(TraceRequest request, long number) implements Comparable<BufferedRequest> {
         @Override
-        public int compareTo(Held other) {
+        public int compareTo(BufferedRequest other) {
             int byTime = Long.compare(request.at(), other.request.at());
             return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
@@ -18,68 +18,68 @@
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final long window;
-    private final int maxHeld;
+    private final long windowNanos;
+    private final int maxBuffered;
     private final SkippedRows skipped;
     private final Consumer<TraceRequest> out;
-    private final PriorityQueue<Held> held = new PriorityQueue<>();
+    private final PriorityQueue<BufferedRequest> buffered = new PriorityQueue<>();
     private long added;
-    private long newest = Long.MIN_VALUE;
-    private long lastGiven = Long.MIN_VALUE;
+    private long latestArrival = Long.MIN_VALUE;
+    private long lastReleased = Long.MIN_VALUE;
     private long reordered;
 
     /**
      * Creates an empty buffer.
      *
-     * @param window nanoseconds, or Long.MAX_VALUE for no bound
-     * @param maxHeld requests held at once
+     * @param windowNanos longest time by which a request may be out of order; Long.MAX_VALUE for no bound
+     * @param maxBuffered number of requests held at once
      */
-    ReorderBuffer(long window, int maxHeld, SkippedRows skipped, Consumer<TraceRequest> out) {
-        this.window = window;
-        this.maxHeld = maxHeld;
+    ReorderBuffer(long windowNanos, int maxBuffered, SkippedRows skipped, Consumer<TraceRequest> out) {
+        this.windowNanos = windowNanos;
+        this.maxBuffered = maxBuffered;
         this.skipped = skipped;
         this.out = out;
     }
 
     @Override
     public void accept(TraceRequest request) {
-        if (request.at() < lastGiven) {
+        if (request.at() < lastReleased) {
             skipped.add(
                     request.line(),
                     "",
                     "out of time order beyond the window",
-                    "by " + (lastGiven - request.at()) / NANOS_PER_MILLI + " ms");
+                    "by " + (lastReleased - request.at()) / NANOS_PER_MILLI + " ms");
             return;
         }
-        reordered += request.at() < newest ? 1 : 0;
-        newest = Math.max(newest, request.at());
-        held.add(new Held(request, added++));
-        while (held.size() > maxHeld || oldestIsBeyondWindow()) {
-            give();
+        reordered += request.at() < latestArrival ? 1 : 0;
+        latestArrival = Math.max(latestArrival, request.at());
+        buffered.add(new BufferedRequest(request, added++));
+        while (buffered.size() > maxBuffered || oldestIsBeyondWindow()) {
+            releaseEarliest();
         }
     }
 
     private boolean oldestIsBeyondWindow() {
-        return !held.isEmpty()
-                && window != Long.MAX_VALUE
-                && newest - held.peek().request().at() > window;
+        return !buffered.isEmpty()
+                && windowNanos != Long.MAX_VALUE
+                && latestArrival - buffered.peek().request().at() > windowNanos;
     }
 
-    private void give() {
-        TraceRequest request = held.poll().request();
-        lastGiven = request.at();
+    private void releaseEarliest() {
+        TraceRequest request = buffered.poll().request();
+        lastReleased = request.at();
         out.accept(request);
     }
 
-    /** Gives all that is held; the file has ended. */
-    void end() {
-        while (!held.isEmpty()) {
-            give();
+    /** Releases all buffered requests; called at the end of the file. */
+    void flush() {
+        while (!buffered.isEmpty()) {
+            releaseEarliest();
         }
     }
 
-    /** How many came out of order and were put right. */
-    long moved() {
+    /** Returns the number of requests that arrived out of order and were put in order. */
+    long reorderedCount() {
         return reordered;
     }
 }
--- a/testbed/src/main/java/pearladder/traces/RowReader.java
+++ b/testbed/src/main/java/pearladder/traces/RowReader.java
@@ -9,31 +9,31 @@
 import java.util.function.Consumer;
 import org.apache.commons.csv.CSVRecord;
 
-/** Turns the rows of one layout into requests. A row that can't be one is reported with its column and left out. */
+/** Turns the rows of one layout into requests. A row that is invalid is reported with its column and left out. */
 final class RowReader {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long NANOS_PER_MICRO = 1000;
     private static final int MINUTES_PER_DAY = 1440;
-    /** Columns of Azure Functions 2019 before the minutes. */
+    /** Number of columns of Azure Functions 2019 before the minutes. */
     private static final int COLUMNS_BEFORE_MINUTES = 4;
-    /** Work of a token that is read, in nanoseconds, where a trace states only tokens. */
-    private static final long READ_TOKEN_NANOS = 50_000;
-    /** Work of a token that is written, in nanoseconds. */
-    private static final long WRITTEN_TOKEN_NANOS = 2_000_000;
-    /** Memory of the largest machine, of which the Google trace states shares. */
+    /** Work of one input token, in nanoseconds, where a trace states only numbers of tokens. */
+    private static final long INPUT_TOKEN_NANOS = 50_000;
+    /** Work of one output token, in nanoseconds. */
+    private static final long OUTPUT_TOKEN_NANOS = 2_000_000;
+    /** Memory of the largest machine; the Google trace states memory as a share of it. */
     private static final double GOOGLE_MACHINE_MB = 64_000;
 
-    private static final double GOOGLE_USUAL_CPU = 0.05;
+    private static final double GOOGLE_DEFAULT_CPU_SHARE = 0.05;
     private static final int GOOGLE_SUBMISSION = 0;
-    /** The Alibaba trace states shares of a machine in per cent, of which one stands for 1 GB. */
+    /** Memory of one per cent of a machine, the unit of the Alibaba trace. */
     private static final double ALIBABA_MB_PER_UNIT = 1000;
-    /** Numbers from here on are no plausible figures of a trace. */
+    /** Numbers from this limit on are rejected as implausible. */
     private static final double NUMBER_LIMIT = 1e15;
-    /** Just below the range of a long. */
+    /** Just below the largest value of a long. */
     private static final double NANOS_LIMIT = 9e18;
 
-    /** A field that is not what its column holds. */
+    /** Thrown for a field whose value is invalid for its column. */
     private static final class InvalidField extends RuntimeException {
         private static final long serialVersionUID = 1L;
         final String column;
@@ -58,7 +58,7 @@
         this.out = out;
     }
 
-    /** Reads the row of a line; counts by minute are collected, all other rows become a request at once. */
+    /** Reads the row of a line; counts by minute are collected, every other row becomes a request immediately. */
     void read(CSVRecord row, long line) {
         try {
             switch (layout) {
@@ -106,20 +106,21 @@
     private void invocation(CSVRecord row, long line) {
         columns(row, 4, 4);
         long end = nanos(row, 2, "end_timestamp", NANOS_PER_SECOND);
-        long took = nanos(row, 3, "duration", NANOS_PER_SECOND);
-        out.accept(new TraceRequest(end - took, text(row, 1, "func"), took, Double.NaN, "", text(row, 0, "app"), line));
+        long duration = nanos(row, 3, "duration", NANOS_PER_SECOND);
+        out.accept(new TraceRequest(
+                end - duration, text(row, 1, "func"), duration, Double.NaN, "", text(row, 0, "app"), line));
     }
 
     private void tokens(CSVRecord row, long line) {
         columns(row, 3, 3);
-        long context = count(row, 1, "ContextTokens");
-        long written = count(row, 2, "GeneratedTokens");
-        // one model serves all requests; those of similar length get a name of their own, to be placed apart
-        long bucket = 64 - Long.numberOfLeadingZeros(Math.max(1, context));
+        long inputTokens = count(row, 1, "ContextTokens");
+        long outputTokens = count(row, 2, "GeneratedTokens");
+        // one model serves all requests; those of similar input length get a name of their own, to be placed apart
+        long bucket = 64 - Long.numberOfLeadingZeros(Math.max(1, inputTokens));
         out.accept(new TraceRequest(
                 instant(row, 0, "TIMESTAMP"),
                 "llm-" + bucket,
-                context * READ_TOKEN_NANOS + written * WRITTEN_TOKEN_NANOS,
+                inputTokens * INPUT_TOKEN_NANOS + outputTokens * OUTPUT_TOKEN_NANOS,
                 Double.NaN,
                 "",
                 "",
@@ -133,7 +134,7 @@
             return;
         }
         long at = nanos(row, 0, "timestamp", NANOS_PER_MICRO);
-        double cpu = row.get(9).isBlank() ? GOOGLE_USUAL_CPU : number(row, 9, "CPU request");
+        double cpu = row.get(9).isBlank() ? GOOGLE_DEFAULT_CPU_SHARE : number(row, 9, "CPU request");
         double memory = row.get(10).isBlank() ? Double.NaN : number(row, 10, "memory request") * GOOGLE_MACHINE_MB;
         out.accept(new TraceRequest(
                 at, "job-" + text(row, 2, "job ID"), (long) (cpu * NANOS_PER_SECOND), memory, "", row.get(6), line));
@@ -203,7 +204,7 @@
         if (number * unit > NANOS_LIMIT) {
             throw new InvalidField(column, "out of bounds", "\"" + row.get(at) + "\"");
         }
-        // through the whole part first: a double of nanoseconds would lose the last digits after some months
+        // converts the whole part separately: a double of nanoseconds loses the last digits after some months
         long whole = (long) number;
         return whole * unit + Math.round((number - whole) * unit);
     }
@@ -220,8 +221,8 @@
         }
     }
 
-    /** The names of all layouts, for messages. */
-    static List<String> words() {
+    /** Returns the names of all layouts, for messages. */
+    static List<String> layoutNames() {
         return Arrays.stream(Layout.values()).map(Layout::word).toList();
     }
 }
--- a/testbed/src/main/java/pearladder/traces/SkippedRows.java
+++ b/testbed/src/main/java/pearladder/traces/SkippedRows.java
@@ -14,7 +14,7 @@
         }
     }
 
-    /** Thrown at the first such row where the caller asked to be strict. */
+    /** Thrown at the first row that would be left out, in strict mode. */
     public static final class StrictModeException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -24,7 +24,7 @@
     }
 
     private final boolean strict;
-    private final Consumer<Row> named;
+    private final Consumer<Row> listener;
     private final Map<String, Long> reasons = new TreeMap<>();
     private long count;
 
@@ -32,18 +32,18 @@
      * Creates an empty count.
      *
      * @param strict throws {@link StrictModeException} at the first row instead
-     * @param named is given every row as it is met
+     * @param listener called with every row as it is left out
      */
-    public SkippedRows(boolean strict, Consumer<Row> named) {
+    public SkippedRows(boolean strict, Consumer<Row> listener) {
         this.strict = strict;
-        this.named = named;
+        this.listener = listener;
     }
 
     /**
      * Reports and counts a row.
      *
-     * @param line of the file
-     * @param column empty where no single one is wrong
+     * @param line line number in the file
+     * @param column column name; empty if no single column is wrong
      * @param kind the reason under which it is counted
      * @param detail of this row; may be empty
      */
@@ -54,15 +54,15 @@
         }
         count++;
         reasons.merge((column.isEmpty() ? "" : column + ": ") + kind, 1L, Long::sum);
-        named.accept(row);
+        listener.accept(row);
     }
 
-    /** How many rows were left out. */
+    /** Returns the number of rows that were left out. */
     public long count() {
         return count;
     }
 
-    /** How many rows for each column and reason. */
+    /** Returns the number of rows left out, by column and reason. */
     public Map<String, Long> reasons() {
         return Map.copyOf(reasons);
     }
--- a/testbed/src/main/java/pearladder/traces/TraceFile.java
+++ b/testbed/src/main/java/pearladder/traces/TraceFile.java
@@ -13,20 +13,20 @@
 import org.apache.commons.csv.CSVRecord;
 
 /**
- * Reads a trace file as a stream: its size does not matter, but for the layout of counts by minute, whose rows must
- * all be held to be put in order of time.
+ * Reads a trace file as a stream: memory does not grow with its size, except for the layout of counts by minute,
+ * all of whose rows must be held to be put in order of time.
  */
 public final class TraceFile {
     /**
-     * What a whole file held.
+     * Totals of a file that was read.
      *
-     * @param rows all but the header
-     * @param requests requests that were made of them
-     * @param reordered rows that came out of time order and were put right
+     * @param rows number of rows without the header
+     * @param requests number of requests made from the rows
+     * @param reordered number of rows that were out of time order and were put in order
      */
     public record Summary(Layout layout, long rows, long requests, long reordered) {}
 
-    /** Thrown for a file that is no trace: the message names the file and says what to do. */
+    /** Thrown for a file that is not a valid trace; the message names the file and the remedy. */
     public static final class InvalidTraceException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -35,10 +35,10 @@
         }
     }
 
-    /** Requests held at once to put them in order. */
-    private static final int MAX_HELD = 2_000_000;
+    /** Number of requests held at once to put them in order. */
+    private static final int MAX_BUFFERED_REQUESTS = 2_000_000;
 
-    private static final int MAX_HEADER_SHOWN = 80;
+    private static final int MAX_HEADER_LENGTH_SHOWN = 80;
     private static final String NOT_UTF_8 = "it is not UTF-8; convert it first";
 
     private final Layout layout;
@@ -54,11 +54,11 @@
     }
 
     /**
-     * Reads a file from its beginning to its end; throws {@link InvalidTraceException} where it is none.
+     * Reads a file from its beginning to its end; throws {@link InvalidTraceException} if it is not a valid trace.
      *
      * @param layout null to detect it by the first line
-     * @param companions beside counts by minute; {@link DurationTables#NONE} for other layouts
-     * @param windowNanos how far out of order a row may be and still be put right
+     * @param companions files published beside counts by minute; {@link DurationTables#NONE} for other layouts
+     * @param windowNanos longest time by which a row may be out of order and still be put in order
      */
     public static Summary read(
             Path file,
@@ -91,15 +91,15 @@
         }
     }
 
-    /** The layout that was asked for, or that the first row shows; the header must be the layout's. */
-    private static Layout layoutOf(Path file, Layout asked, CSVRecord first) throws InvalidTraceException {
+    /** Returns the requested layout, or the one detected from the first row; the header must match it. */
+    private static Layout layoutOf(Path file, Layout requested, CSVRecord first) throws InvalidTraceException {
         List<String> columns = first.toList().stream().map(String::trim).toList();
-        Layout layout = asked != null ? asked : Layout.guess(columns);
+        Layout layout = requested != null ? requested : Layout.guess(columns);
         if (layout == null) {
             throw new InvalidTraceException(
                     file,
                     "line 1: the columns \"" + abbreviated(columns) + "\" are of no known layout; name one with "
-                            + "--layout: " + String.join(", ", RowReader.words()));
+                            + "--layout: " + String.join(", ", RowReader.layoutNames()));
         }
         List<String> header = layout.header();
         List<String> start = columns.subList(0, Math.min(columns.size(), header.size()));
@@ -114,13 +114,13 @@
 
     private static String abbreviated(List<String> columns) {
         String all = String.join(",", columns);
-        return all.length() > MAX_HEADER_SHOWN ? all.substring(0, MAX_HEADER_SHOWN) + "..." : all;
+        return all.length() > MAX_HEADER_LENGTH_SHOWN ? all.substring(0, MAX_HEADER_LENGTH_SHOWN) + "..." : all;
     }
 
-    /** Reads all rows; the first has been read already, or is null where it was a header. */
+    /** Reads all rows; {@code first} has been read from the parser already, and is null if it was a header. */
     private Summary read(
             CSVParser parser, Iterator<CSVRecord> rest, CSVRecord first, DurationTables companions, long window) {
-        ReorderBuffer order = new ReorderBuffer(window, MAX_HELD, skipped, this::count);
+        ReorderBuffer order = new ReorderBuffer(window, MAX_BUFFERED_REQUESTS, skipped, this::count);
         MinuteCounts minutes = new MinuteCounts(companions.durations(), companions.memory());
         RowReader reader = new RowReader(layout, skipped, minutes, order);
         if (first != null) {
@@ -135,9 +135,9 @@
             // quotes may span lines: the next row begins after the line on which this one ends
             line = parser.getCurrentLineNumber() + 1;
         }
-        order.end();
-        minutes.give(this::count);
-        return new Summary(layout, rows, requestCount, order.moved());
+        order.flush();
+        minutes.emitInOrder(this::count);
+        return new Summary(layout, rows, requestCount, order.reorderedCount());
     }
 
     private void count(TraceRequest request) {
--- a/testbed/src/main/java/pearladder/traces/TraceGenerator.java
+++ b/testbed/src/main/java/pearladder/traces/TraceGenerator.java
@@ -5,19 +5,19 @@
 import java.util.function.Consumer;
 
 /**
- * Makes a synthetic trace where none is at hand: models by Zipf's law down to a long tail that is requested once,
- * bursts of whole minutes, and timers with a fixed period. The same seed makes the same trace.
+ * Generates a synthetic trace: models drawn by Zipf's law down to a long tail that is requested once,
+ * bursts of whole minutes, and timers with a fixed period. The same seed gives the same trace.
  */
 public final class TraceGenerator {
     /**
-     * What is made.
+     * Properties of the generated trace.
      *
-     * @param models how many there are beside those of the timers
+     * @param models number of models, without those of the timers
      * @param skew exponent of Zipf's law
      * @param rate mean requests a second
      * @param seconds length of the trace
      * @param timers share of the requests that come from timers, each of a model of its own
-     * @param bursts how much the rate of a minute may differ: 0 for none, 1 for from nothing to twice the mean
+     * @param bursts relative variation of the rate between minutes: 0 for none, 1 for rates from 0 to twice the mean
      * @param workMillis mean work of a request
      */
     public record Settings(
@@ -34,16 +34,16 @@
     private static final double SECONDS_PER_MINUTE = 60;
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double NANOS_PER_MILLI = 1e6;
-    /** Sizes of the models; a model's is taken by its number. */
+    /** Memory sizes of the models; a model's number selects its size. */
     private static final double[] MEMORY_MB = {100, 200, 400, 400, 400, 800};
 
     private static final int MEMORY_STEP = 31;
 
-    private final Settings terms;
+    private final Settings settings;
     private final SplittableRandom random;
     private final ZipfDistribution popularity;
     private final double steadyRate;
-    /** When each timer fires within a period, in seconds, sorted. */
+    /** Time at which each timer fires within a period, in seconds, sorted. */
     private final double[] timerPhases;
 
     private int nextTimer;
@@ -51,31 +51,31 @@
     private double minute = -1;
     private double rate;
 
-    private TraceGenerator(Settings terms) {
-        this.terms = terms;
-        this.random = new SplittableRandom(terms.seed());
-        this.popularity = new ZipfDistribution(terms.models(), terms.skew());
-        this.steadyRate = terms.rate() * (1 - terms.timers());
+    private TraceGenerator(Settings settings) {
+        this.settings = settings;
+        this.random = new SplittableRandom(settings.seed());
+        this.popularity = new ZipfDistribution(settings.models(), settings.skew());
+        this.steadyRate = settings.rate() * (1 - settings.timers());
         this.rate = steadyRate;
-        this.timerPhases = new double[(int) Math.round(terms.rate() * terms.timers() * TIMER_PERIOD_SECONDS)];
+        this.timerPhases = new double[(int) Math.round(settings.rate() * settings.timers() * TIMER_PERIOD_SECONDS)];
         for (int i = 0; i < timerPhases.length; i++) {
             timerPhases[i] = random.nextDouble() * TIMER_PERIOD_SECONDS;
         }
         Arrays.sort(timerPhases);
     }
 
-    /** Makes all requests in the order of their arrival. */
-    public static void make(Settings terms, Consumer<TraceRequest> out) {
-        new TraceGenerator(terms).make(out);
+    /** Generates all requests in order of arrival. */
+    public static void generate(Settings settings, Consumer<TraceRequest> out) {
+        new TraceGenerator(settings).generate(out);
     }
 
-    private void make(Consumer<TraceRequest> out) {
+    private void generate(Consumer<TraceRequest> out) {
         double at = 0;
         while (true) {
             drawRate(at);
             at += rate <= 0 ? SECONDS_PER_MINUTE : -Math.log(1 - random.nextDouble()) / rate;
-            fireTimers(Math.min(at, terms.seconds()), out);
-            if (at >= terms.seconds()) {
+            fireTimers(Math.min(at, settings.seconds()), out);
+            if (at >= settings.seconds()) {
                 return;
             }
             int model = popularity.rank(random.nextDouble());
@@ -88,7 +88,7 @@
         double currentMinute = Math.floor(at / SECONDS_PER_MINUTE);
         if (currentMinute != minute) {
             minute = currentMinute;
-            rate = steadyRate * (1 + terms.bursts() * (2 * random.nextDouble() - 1));
+            rate = steadyRate * (1 + settings.bursts() * (2 * random.nextDouble() - 1));
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     private TraceRequest request(double atSeconds, String model, int number) {
-        double workMillis = terms.workMillis() * (0.5 + random.nextDouble());
+        double workMillis = settings.workMillis() * (0.5 + random.nextDouble());
         return new TraceRequest(
                 Math.round(atSeconds * NANOS_PER_SECOND),
                 model,
--- a/testbed/src/main/java/pearladder/traces/TraceInfo.java
+++ b/testbed/src/main/java/pearladder/traces/TraceInfo.java
@@ -17,8 +17,8 @@
  * Describes a trace: its span, the rate over time, the skew of the models, and a digest of the sequence of requests.
  */
 public final class TraceInfo implements Consumer<TraceRequest> {
-    private static final int BARS = 20;
-    private static final int LONGEST_BAR = 40;
+    private static final int CHART_ROWS = 20;
+    private static final int MAX_BAR_LENGTH = 40;
     private static final int DIGEST_DIGITS = 16;
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -53,7 +53,7 @@
                 .getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The digest of the sequence up to now; two readings of a file give the same. */
+    /** Returns the digest of the requests accepted so far; reading a file twice gives the same digest. */
     public String digest() {
         try {
             return HexFormat.of()
@@ -64,12 +64,12 @@
         }
     }
 
-    /** How many requests were accepted. */
+    /** Returns the number of requests accepted. */
     public long requests() {
         return requests;
     }
 
-    /** The lines that "trace info" prints. */
+    /** Returns the lines that "trace info" prints. */
     public List<String> lines(TraceFile.Summary read, SkippedRows skipped) {
         List<String> lines = new ArrayList<>();
         double span = (last - first) / NANOS_PER_SECOND;
@@ -93,30 +93,30 @@
                         + " mean work %.1f ms",
                 counts.length,
                 once,
-                top(counts, 1),
-                top(counts, 10),
-                top(counts, 100),
+                shareOfMostRequested(counts, 1),
+                shareOfMostRequested(counts, 10),
+                shareOfMostRequested(counts, 100),
                 requests == 0 ? 0 : work / requests));
-        bars(lines, Math.max(1, (long) Math.ceil((span + 1) / BARS)));
+        addRateChart(lines, Math.max(1, (long) Math.ceil((span + 1) / CHART_ROWS)));
         return lines;
     }
 
-    /** The share of all requests that the most popular models get. */
-    private double top(long[] sorted, int most) {
+    /** Returns the share of all requests that go to the {@code modelCount} most requested models. */
+    private double shareOfMostRequested(long[] sorted, int modelCount) {
         long sum = 0;
-        for (int i = sorted.length - 1; i >= Math.max(0, sorted.length - most); i--) {
+        for (int i = sorted.length - 1; i >= Math.max(0, sorted.length - modelCount); i--) {
             sum += sorted[i];
         }
         return requests == 0 ? 0 : (double) sum / requests;
     }
 
-    /** Adds a line for each span of so many seconds, with its rate as a number and as a bar. */
-    private void bars(List<String> lines, long width) {
+    /** Adds a line for each span of {@code rowSeconds}, with its rate as a number and as a bar. */
+    private void addRateChart(List<String> lines, long rowSeconds) {
         TreeMap<Long, Long> bars = new TreeMap<>();
-        seconds.forEach((second, count) -> bars.merge(second / width, count, Long::sum));
+        seconds.forEach((second, count) -> bars.merge(second / rowSeconds, count, Long::sum));
         long most = bars.values().stream().mapToLong(Long::longValue).max().orElse(1);
         bars.forEach((bar, count) -> lines.add(String.format(
-                Locale.ROOT, "%8d s %9.2f a second %s", bar * width, (double) count / width, "#".repeat((int)
-                                Math.max(1, LONGEST_BAR * count / most)))));
+                Locale.ROOT, "%8d s %9.2f a second %s", bar * rowSeconds, (double) count / rowSeconds, "#".repeat((int)
+                                Math.max(1, MAX_BAR_LENGTH * count / most)))));
     }
 }
--- a/testbed/src/main/java/pearladder/traces/TraceInput.java
+++ b/testbed/src/main/java/pearladder/traces/TraceInput.java
@@ -21,7 +21,7 @@
 
     private TraceInput() {}
 
-    /** A reader that fails with a CharacterCodingException at what is not UTF-8. */
+    /** Returns a reader that throws a CharacterCodingException for bytes that are not valid UTF-8. */
     static BufferedReader open(Path file) throws IOException {
         InputStream in = skipByteOrderMark(decompressed(opened(file)));
         CharsetDecoder decoder = StandardCharsets.UTF_8
--- a/testbed/src/main/java/pearladder/traces/TraceWriter.java
+++ b/testbed/src/main/java/pearladder/traces/TraceWriter.java
@@ -9,14 +9,14 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** Writes requests in the plain layout, all or a part: a window of time, a share of models by a seeded hash. */
+/** Writes requests in the plain layout: those in a window of time, of a share of models chosen by a seeded hash. */
 public final class TraceWriter implements Consumer<TraceRequest>, AutoCloseable {
     private static final int NANOS_PER_SECOND_DIGITS = 9;
     private static final int NANOS_PER_MILLI_DIGITS = 6;
 
     private final CSVPrinter printer;
-    private final Predicate<TraceRequest> wanted;
-    private final long from;
+    private final Predicate<TraceRequest> included;
+    private final long fromNanos;
     private long first;
     private boolean started;
     private long written;
@@ -24,9 +24,9 @@
     /**
      * Creates a writer and writes the header.
      *
-     * @param fromNanos since the first request
-     * @param toNanos since the first request; what is at it or later is left out
-     * @param share of the models, 0 to 1; the requests of a model come all or none
+     * @param fromNanos start of the window, since the first request
+     * @param toNanos end of the window (exclusive), since the first request
+     * @param share of the models, 0 to 1; the requests of a model are written all or none
      */
     public TraceWriter(Appendable out, long fromNanos, long toNanos, double share, int seed) throws IOException {
         this.printer = CSVFormat.DEFAULT
@@ -35,10 +35,10 @@
                 .setHeader(Layout.PLAIN.header().toArray(String[]::new))
                 .get()
                 .print(out);
-        this.from = fromNanos;
-        this.wanted = request -> request.at() - first >= fromNanos
+        this.fromNanos = fromNanos;
+        this.included = request -> request.at() - first >= fromNanos
                 && request.at() - first < toNanos
-                && (share >= 1 || Hashes.share(request.model(), seed) < share);
+                && (share >= 1 || Hashes.unitInterval(request.model(), seed) < share);
     }
 
     @Override
@@ -47,10 +47,10 @@
             started = true;
             first = request.at();
         }
-        if (!wanted.test(request)) {
+        if (!included.test(request)) {
             return;
         }
-        long at = request.at() - first - from;
+        long at = request.at() - first - fromNanos;
         try {
             printer.printRecord(
                     decimals(at, NANOS_PER_SECOND_DIGITS),
@@ -65,12 +65,12 @@
         }
     }
 
-    /** A whole number shifted right by so many decimal places, exactly. */
+    /** Returns {@code value} divided by 10 to the power of {@code places}, exactly. */
     private static String decimals(long value, int places) {
         return BigDecimal.valueOf(value, places).stripTrailingZeros().toPlainString();
     }
 
-    /** How many were written. */
+    /** Returns the number of requests written. */
     public long written() {
         return written;
     }
--- a/testbed/src/main/java/pearladder/traces/ZipfDistribution.java
+++ b/testbed/src/main/java/pearladder/traces/ZipfDistribution.java
@@ -4,13 +4,13 @@
 
 /** Zipf's law over ranks from 0 on: rank i is drawn in proportion to 1 / (i + 1) to the power of the exponent. */
 public final class ZipfDistribution {
-    /** Sums of the ranks' weights up to each. */
+    /** Cumulative weights, by rank. */
     private final double[] cumulative;
 
     /**
      * Creates a distribution.
      *
-     * @param ranks how many there are, at least 1
+     * @param ranks number of ranks, at least 1
      * @param exponent 0 for a uniform distribution
      */
     public ZipfDistribution(int ranks, double exponent) {
@@ -23,9 +23,9 @@
     }
 
     /**
-     * The rank for a random number, by binary search.
+     * Returns the rank for a random number, by binary search.
      *
-     * @param uniform from 0 up to, not including, 1
+     * @param uniform random number from 0 (inclusive) to 1 (exclusive)
      */
     public int rank(double uniform) {
         int last = cumulative.length - 1;
--- a/testbed/src/test/java/pearladder/traces/TraceCutTest.java
+++ b/testbed/src/test/java/pearladder/traces/TraceCutTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** That writing a trace, or parts of it, in the plain layout loses nothing; each property over several seeds. */
+/** Checks that writing a trace, or parts of it, in the plain layout loses nothing; each property over several seeds. */
 class TraceCutTest {
     private static final int SEEDS = 20;
     private static final long WINDOW_NANOS = 10_000_000_000L;
--- a/testbed/src/test/java/pearladder/traces/TraceFileTest.java
+++ b/testbed/src/test/java/pearladder/traces/TraceFileTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How each layout is read, and what is said of files and rows that are wrong. */
+/** Checks how each layout is read, and how invalid files and rows are reported. */
 class TraceFileTest {
     private static final long WINDOW_NANOS = 10_000_000_000L;
     private static final long MS = 1_000_000;
--- a/testbed/src/test/java/pearladder/traces/TraceMakerTest.java
+++ b/testbed/src/test/java/pearladder/traces/TraceMakerTest.java
@@ -9,16 +9,16 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What a synthetic trace holds. */
+/** Checks the content of synthetic traces. */
 class TraceMakerTest {
     @Test
     void syntheticTraceIsOrderedFollowsItsSettingsAndIsReproducible() {
         TraceGenerator.Settings terms = new TraceGenerator.Settings(1000, 1, 50, 120, 0.2, 0.5, 20, 7);
         TraceInfo first = new TraceInfo();
-        TraceGenerator.make(terms, first);
+        TraceGenerator.generate(terms, first);
         TraceInfo second = new TraceInfo();
         List<TraceRequest> requests = new ArrayList<>();
-        TraceGenerator.make(terms, request -> {
+        TraceGenerator.generate(terms, request -> {
             requests.add(request);
             second.accept(request);
         });
