--- a/cli/src/main/java/pearladder/cli/Commands.java
+++ b/cli/src/main/java/pearladder/cli/Commands.java
@@ -39,7 +39,7 @@
             CommandLine.HelpCommand.class
         })
 final class Commands implements Runnable {
-    /** Not an exit code: the command goes on in other threads and ends the process itself. */
+    /** Not an exit code: the command continues in other threads and ends the process itself. */
     static final int RUNNING = -1;
 
     /** Exit code for a mistake in the command line or in a file. */
@@ -56,7 +56,7 @@
         return new CommandLine(new Commands()).setExecutionExceptionHandler(Commands::handleFailure);
     }
 
-    /** A user's mistake is reported in lines, never as a stack trace; a defect keeps its trace in the log. */
+    /** Reports a user's mistake in lines, never as a stack trace; the stack trace of a defect goes to the log. */
     private static int handleFailure(Exception failure, CommandLine commandLine, CommandLine.ParseResult parsed) {
         PrintWriter err = commandLine.getErr();
         if (failure instanceof ConfigErrors.ConfigException errors) {
@@ -77,7 +77,7 @@
         return 1;
     }
 
-    /** The message of such an exception is often the bare path. */
+    /** Describes a file error; the message of the exception is often just the path. */
     private static String describe(FileSystemException failure) {
         String advice =
                 failure.getReason() == null ? "; check that it and its folder are there" : ": " + failure.getReason();
--- a/cli/src/main/java/pearladder/cli/EventLogCommand.java
+++ b/cli/src/main/java/pearladder/cli/EventLogCommand.java
@@ -46,7 +46,7 @@
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description = "Check every file, checksum and number; ends with 1 where something is lost.")
+            description = "Check every file, checksum and number; ends with 1 if something is lost.")
     int verify(@Parameters(index = "0", paramLabel = "DIR") Path folder) throws IOException {
         EventLogReader.VerificationResult verified = new EventLogReader(folder).verify();
         verified.damage().forEach(out()::println);
@@ -61,7 +61,7 @@
         return verified.damage().isEmpty() ? 0 : 1;
     }
 
-    @Command(name = "dump", mixinStandardHelpOptions = true, description = "Every entry as a line of JSON.")
+    @Command(name = "dump", mixinStandardHelpOptions = true, description = "Print every entry as a line of JSON.")
     int dump(
             @Parameters(index = "0", paramLabel = "DIR") Path folder,
             @Option(names = "--from", defaultValue = "1", paramLabel = "NUMBER", description = "first entry") long from)
@@ -85,7 +85,7 @@
         return 0;
     }
 
-    /** Which entries a query is for. */
+    /** Options that select the entries of a query. */
     static final class Filter {
         @Option(
                 names = "--from",
@@ -128,7 +128,7 @@
     @Command(
             name = "query",
             mixinStandardHelpOptions = true,
-            description = "Entries of a time, a kind, a request, a model, a tenant, a worker.")
+            description = "Print the entries of a period, kind, request, model, tenant or worker.")
     int query(@Parameters(index = "0", paramLabel = "DIR") Path folder, @CommandLine.Mixin Filter filter)
             throws IOException {
         long[] count = {0};
@@ -159,7 +159,7 @@
                 + (entry.micros() == 0 ? "" : String.format(Locale.ROOT, "%.1f ms", entry.micros() / 1e3));
     }
 
-    /** Old names of the entry types: scripts read them. */
+    /** Returns the old name of an entry type, which scripts read. */
     private static String code(LogEntryType type) {
         return type.name().toLowerCase(Locale.ROOT);
     }
@@ -173,7 +173,7 @@
             @Option(
                             names = "--days",
                             defaultValue = "7",
-                            description = "remove details older than that (default: ${DEFAULT-VALUE})")
+                            description = "remove details older than this (default: ${DEFAULT-VALUE})")
                     int days)
             throws IOException {
         RetentionSettings defaults = RetentionSettings.DEFAULTS;
--- a/cli/src/main/java/pearladder/cli/EventLogCrashCommand.java
+++ b/cli/src/main/java/pearladder/cli/EventLogCrashCommand.java
@@ -28,7 +28,7 @@
     /** Ends a line of the writer that acknowledges entries, so that a line cut off by the kill does not count. */
     static final String ACKNOWLEDGEMENT_END = ";";
 
-    private static final int SHORTEST_RUN_MILLIS = 20;
+    private static final int MIN_RUN_MILLIS = 20;
     private static final int RUN_SPREAD_MILLIS = 400;
 
     @Parameters(index = "0", paramLabel = "DIR", description = "an empty folder")
@@ -54,9 +54,9 @@
         long acknowledged = 0;
         long losses = 0;
         for (int kill = 1; kill <= kills; kill++) {
-            int runMillis = SHORTEST_RUN_MILLIS + random.nextInt(RUN_SPREAD_MILLIS);
+            int runMillis = MIN_RUN_MILLIS + random.nextInt(RUN_SPREAD_MILLIS);
             acknowledged = Math.max(acknowledged, writeAndKill(runMillis));
-            // a compaction removes old details, never their numbers: verify finds a number that is missing
+            // a compaction removes old details but keeps their numbers, so verify detects a missing number
             EventLogReader.VerificationResult verified = new EventLogReader(folder).verify();
             long last = lastEntry(acknowledged);
             if (last < acknowledged || !verified.damage().isEmpty()) {
--- a/cli/src/main/java/pearladder/cli/EventLogWriterCommand.java
+++ b/cli/src/main/java/pearladder/cli/EventLogWriterCommand.java
@@ -25,8 +25,8 @@
     /** Small files, so that many are written; nothing but details is ever removed. */
     private static final RetentionSettings RETENTION = new RetentionSettings(1 << 20, 60_000, 1L << 40, 1L << 40, 1000);
 
-    private static final long MOST_BATCHES = 1_000_000;
-    private static final int MOST_ENTRIES_OF_A_BATCH = 40;
+    private static final long MAX_BATCHES = 1_000_000;
+    private static final int MAX_ENTRIES_PER_BATCH = 40;
     private static final int BATCHES_BETWEEN_COMPACTIONS = 50;
 
     @Parameters(index = "0")
@@ -41,7 +41,7 @@
     public Integer call() throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         try (EventLog eventLog = EventLog.open(folder, RETENTION, out::println)) {
-            for (long batch = 0; batch < MOST_BATCHES; batch++) {
+            for (long batch = 0; batch < MAX_BATCHES; batch++) {
                 eventLog.append(randomBatch(batch));
                 if (batch % BATCHES_BETWEEN_COMPACTIONS == BATCHES_BETWEEN_COMPACTIONS - 1) {
                     eventLog.compact(1);
@@ -55,7 +55,7 @@
 
     private List<LogEntry> randomBatch(long batch) {
         List<LogEntry> entries = new ArrayList<>();
-        for (int i = random.nextInt(MOST_ENTRIES_OF_A_BATCH); i >= 0; i--) {
+        for (int i = random.nextInt(MAX_ENTRIES_PER_BATCH); i >= 0; i--) {
             entries.add(new LogEntry(
                     System.currentTimeMillis(),
                     i % 3 == 0 ? LogEntryType.ENDED : LogEntryType.LEG,
--- a/cli/src/main/java/pearladder/cli/Logs.java
+++ b/cli/src/main/java/pearladder/cli/Logs.java
@@ -12,7 +12,7 @@
 
 /** Sets up logging to standard error: JSON with a field for each figure, or text for people. */
 final class Logs {
-    /** Words of {@code --log}; AUTO is text on a terminal, else JSON. */
+    /** Values of {@code --log}; AUTO is text on a terminal, else JSON. */
     enum Form {
         AUTO,
         JSON,
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Logs errors only: a simulation's hundred routers would each log their changes of mode. */
+    /** Logs errors only: otherwise each of a simulation's hundred routers would log its changes of mode. */
     static void quiet() {
         ((LoggerContext) LoggerFactory.getILoggerFactory())
                 .getLogger("pearladder")
--- a/cli/src/main/java/pearladder/cli/Main.java
+++ b/cli/src/main/java/pearladder/cli/Main.java
@@ -15,7 +15,7 @@
 public final class Main {
     private static final String SIMULATOR_ADAPTER = "wirehost";
     private static final String PLATFORM_ROUTER = "platform";
-    /** The platform's router, which ends once it is warm: the build makes its class archive from such a run. */
+    /** The platform's router, stopped after its warm-up: the build creates its class archive from such a run. */
     private static final String PLATFORM_WARM_UP = "practice";
 
     private static final String CONFIG_VARIABLE = "ROUTER_CONFIG";
@@ -23,7 +23,7 @@
     private Main() {}
 
     /**
-     * Runs one command and ends the process with its exit code, unless the command goes on in other threads.
+     * Runs one command and ends the process with its exit code, unless the command continues in other threads.
      *
      * @param arguments the command and its options
      */
@@ -51,7 +51,7 @@
         } catch (InvalidInputException invalid) {
             printError(invalid.getMessage());
         } catch (IOException failure) {
-            printError("the wire broke: " + failure.getMessage());
+            printError("communication with the simulator failed: " + failure.getMessage());
         }
         return 1;
     }
@@ -61,8 +61,8 @@
         SignalHandlers signals = SignalHandlers.install();
         Logs.setUp(Logs.Form.TEXT);
         if (signals.isAnyIgnored()) {
-            printError("whoever started this ignores SIGHUP or SIGTERM (as nohup does), and so it never hears them;"
-                    + " start it without");
+            printError("the parent process ignores SIGHUP or SIGTERM (as nohup does), and the router inherits this:"
+                    + " the signal has no effect on it; start it without nohup");
         }
         String file = System.getenv(CONFIG_VARIABLE);
         if (file == null) {
--- a/cli/src/main/java/pearladder/cli/MeteringCommand.java
+++ b/cli/src/main/java/pearladder/cli/MeteringCommand.java
@@ -33,7 +33,7 @@
         },
         subcommands = MeteringExplainCommand.class)
 final class MeteringCommand implements Callable<Integer> {
-    /** What shares are summed by; the constants are the words of {@code --by} and heads in the CSV. */
+    /** Attribute by which shares are summed; the constants are values of {@code --by} and headings in the CSV. */
     enum Group {
         ACCOUNT,
         MODEL,
--- a/cli/src/main/java/pearladder/cli/MeteringExplainCommand.java
+++ b/cli/src/main/java/pearladder/cli/MeteringExplainCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Compares a tenant's memory-seconds in the second half of a time with those in the first. */
+/** Compares a tenant's memory-seconds in the second half of a period with those in the first. */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
@@ -39,7 +39,7 @@
     @Spec
     private CommandSpec spec;
 
-    /** Sums of the first and the second half of the time. */
+    /** Sums of the first and the second half of the period. */
     private static final class Halves {
         private final UsageSums first = new UsageSums();
         private final UsageSums second = new UsageSums();
@@ -70,7 +70,7 @@
         return 0;
     }
 
-    /** Start and end of the tenant's usage, in milliseconds since 1970; null for none. */
+    /** Returns the start and end of the tenant's usage, in milliseconds since 1970; null for none. */
     private long[] usedTime(MeteringInput input, PrintWriter out) throws IOException {
         long[] used = {Long.MAX_VALUE, Long.MIN_VALUE};
         input.shares(out, share -> {
--- a/cli/src/main/java/pearladder/cli/MeteringInput.java
+++ b/cli/src/main/java/pearladder/cli/MeteringInput.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Options that name the event logs to read, and the time that counts. */
+/** Options that name the event logs to read, and the period to be read. */
 final class MeteringInput {
     @Parameters(
             arity = "0..*",
@@ -29,7 +29,10 @@
     @Option(names = "--to", paramLabel = "TIME", converter = TimeConverter.class, description = "exclusive")
     Instant to = Instant.ofEpochMilli(Long.MAX_VALUE);
 
-    /** Passes on every share of that time, one by one: a month has many millions. Minutes count by their start. */
+    /**
+     * Passes on every share of the period one by one, as a month has many millions. A minute belongs to the period
+     * that holds its start.
+     */
     void shares(PrintWriter out, Consumer<UsageShare> consumer) throws IOException {
         Metering.MeteringResult read = Metering.computeShares(folders, share -> {
             if (share.intervalStartMillis() >= from.toEpochMilli() && share.intervalStartMillis() < to.toEpochMilli()) {
--- a/cli/src/main/java/pearladder/cli/OwnProcess.java
+++ b/cli/src/main/java/pearladder/cli/OwnProcess.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.zip.CRC32;
 
-/** How to start this very program again as a child process. */
+/** The command line that starts this program again as a child process. */
 final class OwnProcess {
     private OwnProcess() {}
 
-    /** Identifies the build: a checksum of the jar, or "classes" if it runs from a build's folders. */
+    /** Returns an identifier of the build: a checksum of the jar, or "classes" if it runs from a build's folders. */
     static String build() throws IOException {
         Path jar = Path.of(System.getProperty("java.class.path"));
         if (!Files.isRegularFile(jar)) {
@@ -21,7 +21,7 @@
         return Long.toHexString(crc.getValue());
     }
 
-    /** The command line up to the arguments. */
+    /** Returns the command line up to the arguments. */
     static List<String> command() {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         return List.of(
--- a/cli/src/main/java/pearladder/cli/PassThroughCommand.java
+++ b/cli/src/main/java/pearladder/cli/PassThroughCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Forwards requests without any decision, as a baseline for {@link MeasureCommand}. */
+/** Forwards requests without a routing decision, as a baseline for {@link MeasureCommand}. */
 @Command(name = "pass-through", hidden = true, description = "A baseline for measure.")
 final class PassThroughCommand implements Callable<Integer> {
     @Option(names = "--targets", required = true, split = ",", description = "ports on loopback")
--- a/cli/src/main/java/pearladder/cli/PolicyChoice.java
+++ b/cli/src/main/java/pearladder/cli/PolicyChoice.java
@@ -5,8 +5,8 @@
 import pearladder.routing.StickyFirstFitPolicy;
 
 /**
- * The policy of a router: this project's, or a baseline that it is compared with. The constants are words of
- * the command line and stand in results.
+ * The policy of a router: this project's, or a baseline that it is compared with. The constants are values on
+ * the command line and are written to results.
  */
 enum PolicyChoice {
     /** The policy of this project. */
--- a/cli/src/main/java/pearladder/cli/ReplayCommand.java
+++ b/cli/src/main/java/pearladder/cli/ReplayCommand.java
@@ -40,14 +40,14 @@
             names = "--most",
             defaultValue = "0",
             paramLabel = "CALLS",
-            description = "end after so many requests; 0 for all")
+            description = "end after this number of requests; 0 for all")
     private long mostRequests;
 
     @Option(
             names = "--lasting",
             defaultValue = "0",
             paramLabel = "SECONDS",
-            description = "end after so long; 0 for all")
+            description = "end after this time; 0 for all")
     private double lastingSeconds;
 
     @Option(names = "--work-scale", defaultValue = "1", description = "factor on the work in the trace")
@@ -57,14 +57,14 @@
             names = "--longest-work",
             defaultValue = "500",
             paramLabel = "MS",
-            description = "longest work; more is cut to it")
+            description = "longest work of a request; longer work is cut to it")
     private double longestWorkMillis;
 
     @Option(
             names = "--usual-work",
             defaultValue = "20",
             paramLabel = "MS",
-            description = "work where the trace has none")
+            description = "work of a request for which the trace states none")
     private double defaultWorkMillis;
 
     @Option(names = "--policy", defaultValue = "MODULE", description = "which policy decides: ${COMPLETION-CANDIDATES}")
--- a/cli/src/main/java/pearladder/cli/RolloutCommand.java
+++ b/cli/src/main/java/pearladder/cli/RolloutCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Starts, watches and steers rollouts at running routers. */
+/** Starts, shows and controls rollouts at running routers. */
 @Command(
         name = "release",
         mixinStandardHelpOptions = true,
@@ -38,7 +38,7 @@
         @Option(
                 names = "--by",
                 defaultValue = "${sys:user.name}",
-                description = "recorded as who did it (default: ${DEFAULT-VALUE})")
+                description = "operator recorded in the journal (default: ${DEFAULT-VALUE})")
         String operator;
 
         @Option(names = "--all", description = "also all routers that these fetch rollouts from")
@@ -121,7 +121,7 @@
         return change(routers, models, before -> target(before, RolloutTarget.Mode.ROLLED_BACK, 0));
     }
 
-    /** The same plan in another mode or at another step; the client fills in epoch, operator and time. */
+    /** Returns the same plan in another mode or at another step; the client fills in epoch, operator and time. */
     private static RolloutTarget target(RolloutTarget before, RolloutTarget.Mode mode, int step) {
         return new RolloutTarget(0, before.plan(), mode, step, "", 0);
     }
--- a/cli/src/main/java/pearladder/cli/RouterCommand.java
+++ b/cli/src/main/java/pearladder/cli/RouterCommand.java
@@ -18,9 +18,9 @@
 @Command(
         name = "router",
         mixinStandardHelpOptions = true,
-        description = "Run a KServe router until SIGTERM, which finishes the requests it holds, then exits with 0.")
+        description = "Run a KServe router until SIGTERM; it then finishes the requests in progress and exits with 0.")
 final class RouterCommand implements Callable<Integer> {
-    private static final int START_LIMIT_SECONDS = 30;
+    private static final int START_TIMEOUT_SECONDS = 30;
 
     @Option(
             names = {"-c", "--config"},
@@ -51,11 +51,11 @@
             router = Router.start(config, policy.maker, seed != null ? seed : new SecureRandom().nextLong())
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .get(START_LIMIT_SECONDS, TimeUnit.SECONDS);
+                    .get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException failure) {
             throw new IOException(failure.getCause().getMessage());
         } catch (TimeoutException timeout) {
-            throw new IOException("the router did not start within " + START_LIMIT_SECONDS + " s");
+            throw new IOException("the router did not start within " + START_TIMEOUT_SECONDS + " s");
         }
         System.out.println("{\"router\":\"" + config.name() + "\",\"port\":" + router.port()
                 + (router.adminPort() > 0 ? ",\"admin\":" + router.adminPort() : "") + "}");
@@ -63,7 +63,7 @@
         return Commands.RUNNING;
     }
 
-    /** Ends with 0 once every request that was held has its response, in place of the signal's exit code. */
+    /** Exits with 0, in place of the signal's exit code, once every request in progress has its response. */
     private static void stop(Router router) {
         int status = 0;
         try {
--- a/cli/src/main/java/pearladder/cli/SimulationCommand.java
+++ b/cli/src/main/java/pearladder/cli/SimulationCommand.java
@@ -30,10 +30,10 @@
             "The same script and seed give the same digest. Ends with 1 if an invariant or an expectation was broken."
         })
 final class SimulationCommand implements Callable<Integer> {
-    /** Rows of a trace are put back in order within it. */
+    /** Longest time by which rows of a trace may be out of order and still be put in order. */
     private static final long REORDER_WINDOW_NANOS = 60_000_000_000L;
 
-    private static final long LONGEST_WORK_NANOS = 500_000_000L;
+    private static final long MAX_WORK_NANOS = 500_000_000L;
     private static final long DEFAULT_WORK_NANOS = 20_000_000L;
 
     @Parameters(paramLabel = "FILE", description = "the script")
@@ -57,14 +57,17 @@
     @Option(names = "--trace", paramLabel = "FILE", description = "a trace's requests in place of the script's traffic")
     private Path trace;
 
-    @Option(names = "--speed", defaultValue = "1", description = "of the trace (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--speed",
+            defaultValue = "1",
+            description = "factor on the trace's speed (default: ${DEFAULT-VALUE})")
     private double speed;
 
     @Option(
             names = "--lasting",
             defaultValue = "0",
             paramLabel = "SECONDS",
-            description = "of the trace; 0 for all of it")
+            description = "play this much of the trace; 0 for all of it")
     private double lasting;
 
     @Option(
@@ -86,7 +89,7 @@
             description = {
                 "the same scenario at these sizes, one after the other;",
                 "requests, models and model store grow with the workers;",
-                "the page charts what grows. 100x10,1000x100"
+                "the report charts what grows. 100x10,1000x100"
             })
     private List<String> sizes = List.of();
 
@@ -116,7 +119,7 @@
         return kept ? 0 : 1;
     }
 
-    /** The trace in place of the script's traffic; null for none. */
+    /** Returns the trace that replaces the script's traffic; null for none. */
     private TraceWorkload.ReplaySettings traceTerms() {
         if (trace == null) {
             return null;
@@ -131,7 +134,7 @@
                 0,
                 Math.round(lasting * 1e9),
                 1,
-                LONGEST_WORK_NANOS,
+                MAX_WORK_NANOS,
                 DEFAULT_WORK_NANOS,
                 false);
     }
--- a/cli/src/main/java/pearladder/cli/StandInsCommand.java
+++ b/cli/src/main/java/pearladder/cli/StandInsCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs workers, a model store and discovery that only pretend, for tests and scenarios. */
+/** Runs stand-ins for workers, a model store and discovery, for tests and scenarios. */
 @Command(
         name = "engines",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/pearladder/cli/TimeConverter.java
+++ b/cli/src/main/java/pearladder/cli/TimeConverter.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import picocli.CommandLine;
 
-/** Reads a time as ISO 8601 has it, in UTC, or a date, which means its first instant. */
+/** Converts an ISO 8601 time in UTC, or a date, which stands for its first instant. */
 final class TimeConverter implements CommandLine.ITypeConverter<Instant> {
     private static final int DATE_LENGTH = "2026-12-01".length();
 
--- a/cli/src/main/java/pearladder/cli/TraceCommand.java
+++ b/cli/src/main/java/pearladder/cli/TraceCommand.java
@@ -21,8 +21,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Inspects, converts and makes traces. */
-@Command(name = "trace", mixinStandardHelpOptions = true, description = "Look at public cluster traces in CSV.")
+/** Inspects, converts and generates traces. */
+@Command(
+        name = "trace",
+        mixinStandardHelpOptions = true,
+        description = "Inspect, convert, cut and generate cluster traces in CSV.")
 final class TraceCommand implements Runnable {
     @Spec
     private CommandSpec spec;
@@ -50,7 +53,7 @@
                 names = "--window",
                 defaultValue = "60",
                 paramLabel = "SECONDS",
-                description = "put rows back in order within it (default: ${DEFAULT-VALUE})")
+                description = "put rows in order that are out of order by at most this (default: ${DEFAULT-VALUE})")
         double window;
 
         @Option(names = "--strict", description = "stop at the first row that can't be read")
@@ -79,13 +82,13 @@
                         Math.round(window * 1e9),
                         skipped,
                         out);
-            } catch (SkippedRows.StrictModeException strictly) {
-                throw new IOException(file + ": " + strictly.getMessage() + " (--strict)", strictly);
+            } catch (SkippedRows.StrictModeException strictFailure) {
+                throw new IOException(file + ": " + strictFailure.getMessage() + " (--strict)", strictFailure);
             }
         }
     }
 
-    /** Reads the name of a layout. */
+    /** Converts the name of a layout. */
     static final class LayoutConverter implements CommandLine.ITypeConverter<Layout> {
         @Override
         public Layout convert(String word) {
@@ -133,11 +136,12 @@
                             names = "--from",
                             defaultValue = "0",
                             paramLabel = "SECONDS",
-                            description = "after the first request")
+                            description = "seconds after the first request")
                     double from,
-            @Option(names = "--until", paramLabel = "SECONDS", description = "after the first request") Double until,
-            @Option(names = "--share", defaultValue = "1", description = "of the models, from 0 to 1") double share,
-            @Option(names = "--seed", defaultValue = "0", description = "of the choice of models") int seed)
+            @Option(names = "--until", paramLabel = "SECONDS", description = "seconds after the first request")
+                    Double until,
+            @Option(names = "--share", defaultValue = "1", description = "share of the models, 0 to 1") double share,
+            @Option(names = "--seed", defaultValue = "0", description = "seed of the choice of models") int seed)
             throws IOException {
         return write(
                 input,
@@ -152,7 +156,7 @@
             name = "make",
             mixinStandardHelpOptions = true,
             description = {
-                "Make a trace where none is at hand, in the plain layout: Zipf's law down to models with one request,",
+                "Generate a synthetic trace in the plain layout: Zipf's law down to models with one request,",
                 "minutes with more and with less load, timers with regular bursts. The same seed makes the same trace."
             })
     int make(
@@ -171,7 +175,8 @@
                             defaultValue = "0.05",
                             description = "share from timers (default: ${DEFAULT-VALUE})")
                     double timers,
-            @Option(names = "--bursts", defaultValue = "0.5", description = "how minutes differ, 0 to 1") double bursts,
+            @Option(names = "--bursts", defaultValue = "0.5", description = "variation of the rate by minute, 0 to 1")
+                    double bursts,
             @Option(names = "--work", defaultValue = "20", paramLabel = "MS", description = "mean work") double work,
             @Option(names = "--seed", defaultValue = "1") long seed)
             throws IOException {
@@ -188,7 +193,7 @@
 
     private static void refuseExisting(Path to) throws IOException {
         if (Files.exists(to)) {
-            throw new IOException(to + ": it is there already; name another file, or take it away first");
+            throw new IOException(to + ": it is there already; name another file, or remove this one first");
         }
     }
 
--- a/cli/src/main/java/pearladder/cli/UsageSums.java
+++ b/cli/src/main/java/pearladder/cli/UsageSums.java
@@ -2,7 +2,7 @@
 
 import pearladder.metering.UsageShare;
 
-/** Sums over usage shares: memory-seconds, loads and work. */
+/** Sums of memory-seconds, loads and work over usage shares. */
 final class UsageSums {
     static final double MEGABYTE_MILLIS_PER_GIGABYTE_SECOND = 1e6;
     private static final double MICROS_PER_SECOND = 1e6;
