--- a/cli/src/main/java/pearladder/cli/FaultSearchCommand.java
+++ b/cli/src/main/java/pearladder/cli/FaultSearchCommand.java
@@ -60,7 +60,7 @@
                 FaultSearch.search(script, file.toString(), policy.maker::create, tries, jobs, System.out);
         yaml.writeValue(out.toFile(), found.script());
         System.out.println(found.runs() + " rehearsals; the worst found is in " + out
-                + (found.brokenInvariant().isEmpty() ? "" : ", which breaks: " + found.brokenInvariant()));
-        return found.brokenInvariant().isEmpty() ? 0 : 1;
+                + (found.violatedInvariant().isEmpty() ? "" : ", which breaks: " + found.violatedInvariant()));
+        return found.violatedInvariant().isEmpty() ? 0 : 1;
     }
 }
--- a/emulator/src/main/java/pearladder/emulator/FaultCommand.java
+++ b/emulator/src/main/java/pearladder/emulator/FaultCommand.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns the magnitude in nanoseconds, for faults whose magnitude is a duration. */
-    public long nanos() {
+    public long durationNanos() {
         return Math.round(magnitude * NANOS_PER_MILLI);
     }
 
@@ -32,7 +32,7 @@
                 switch (type) {
                     case SLOWDOWN -> worker -> worker.setSlowdown(magnitude);
                     case REQUEST_FAILURES -> worker -> worker.setFailureShare(magnitude);
-                    case LATE_REPORTS -> worker -> worker.setReportDelay(nanos());
+                    case LATE_REPORTS -> worker -> worker.setReportDelay(durationNanos());
                     case LOST_LOAD_REPLIES -> worker -> worker.setLostLoadReplyShare(magnitude);
                     case MEMORY_LEAK -> worker -> worker.setMemoryLeak(magnitude);
                     case MODEL_RELEASE -> worker -> List.of(model.split(",")).forEach(worker::invalidateModels);
@@ -56,7 +56,7 @@
         return Optional.ofNullable(
                 switch (type) {
                     case DISCOVERY_SILENT -> registry -> registry.setSilent(isOn());
-                    case DISCOVERY_LAG -> registry -> registry.setLag(nanos());
+                    case DISCOVERY_LAG -> registry -> registry.setLag(durationNanos());
                     case DISCOVERY_SPLIT -> this::splitView;
                     default -> null;
                 });
--- a/emulator/src/main/java/pearladder/emulator/net/FaultInjectionServer.java
+++ b/emulator/src/main/java/pearladder/emulator/net/FaultInjectionServer.java
@@ -115,7 +115,7 @@
             case MISNAMED_MODELS -> forEachServer(command, server -> server.setMisnamingModels(command.isOn()));
             case TRUNCATED_RESPONSES -> forEachServer(command, server -> server.setTruncatingResponses(command.isOn()));
             case DRAIN -> forEachId(command, fleet::drain);
-            case REPLACE -> forEachId(command, id -> fleet.replace(id, command.nanos()));
+            case REPLACE -> forEachId(command, id -> fleet.replace(id, command.durationNanos()));
             case KILL -> whenAllComplete(command, fleet::kill);
             case RESTART -> whenAllComplete(command, fleet::restart);
             case DISCOVERY_RESET -> {
--- a/simulation/src/main/java/pearladder/simulation/FaultSearch.java
+++ b/simulation/src/main/java/pearladder/simulation/FaultSearch.java
@@ -28,11 +28,11 @@
      * Worst scenario found.
      *
      * @param script the scenario's script, reduced as far as possible
-     * @param brokenInvariant description of the violated invariant; empty if only the credit is low
+     * @param violatedInvariant description of the violated invariant; empty if only the credit is low
      * @param credit credit that the clients got, 0 to 1
      * @param runs number of scenarios that were run
      */
-    public record Found(ObjectNode script, String brokenInvariant, double credit, int runs) {}
+    public record Found(ObjectNode script, String violatedInvariant, double credit, int runs) {}
 
     /** One script with the result of its run. */
     private record Trial(ObjectNode script, Simulation.Result outcome) {
--- a/simulation/src/main/java/pearladder/simulation/SimulatedFleet.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedFleet.java
@@ -168,7 +168,7 @@
         switch (command.type()) {
             case KILL -> command.workers().forEach(this::kill);
             case RESTART -> command.workers().forEach(this::restart);
-            case REPLACE -> command.workers().forEach(id -> replace(id, command.nanos()));
+            case REPLACE -> command.workers().forEach(id -> replace(id, command.durationNanos()));
             case DISCOVERY_RESET -> onDiscoveryReset.run();
             default -> targetPaths(command).forEach(pathFault(command));
         }
--- a/simulation/src/main/java/pearladder/simulation/Simulation.java
+++ b/simulation/src/main/java/pearladder/simulation/Simulation.java
@@ -55,7 +55,7 @@
      * @param wallSeconds wall-clock time of the run, in seconds
      * @param table lines of the human-readable report
      * @param verdict verdict of the invariant checker
-     * @param faults missed expectations and errors during the run
+     * @param failures missed expectations and errors during the run
      */
     public record Result(
             String digest,
@@ -72,10 +72,10 @@
             double wallSeconds,
             List<String> table,
             InvariantChecker.Verdict verdict,
-            List<String> faults) {
+            List<String> failures) {
         /** Returns whether no invariant was violated, no expectation was missed and no error occurred. */
         public boolean passed() {
-            return verdict.violations().isEmpty() && faults.isEmpty();
+            return verdict.violations().isEmpty() && failures.isEmpty();
         }
     }
 
--- a/simulation/src/test/java/pearladder/simulation/SimulationTest.java
+++ b/simulation/src/test/java/pearladder/simulation/SimulationTest.java
@@ -32,7 +32,7 @@
     void faultyScenarioKeepsTheInvariantsAndEachOfThemIsChecked() throws IOException {
         Simulation.Result outcome = SmallScenario.run(SmallScenario.script());
         assertEquals(List.of(), outcome.verdict().violations());
-        assertEquals(List.of(), outcome.faults());
+        assertEquals(List.of(), outcome.failures());
         for (InvariantChecker.Invariant invariant : InvariantChecker.Invariant.values()) {
             assertTrue(outcome.verdict().checkedCounts().get(invariant) > 0, invariant + " was never checked");
         }
@@ -58,7 +58,7 @@
                     .put("times", 3)
                     .put("what", kind.code());
             Simulation.Result outcome = SmallScenario.run(script);
-            assertEquals(List.of(), outcome.faults(), kind.name());
+            assertEquals(List.of(), outcome.failures(), kind.name());
             assertTrue(outcome.requests() > 500, kind + ": " + outcome.requests());
             assertEquals(List.of(), outcome.verdict().violations(), kind.name());
         }
@@ -84,8 +84,8 @@
         ObjectNode script = SmallScenario.script();
         script.putObject("expect").put("credit", 1).put("worst_10_s", 1);
         Simulation.Result outcome = Simulation.run(script, "small", StickyFirstFitPolicy::new, out, null);
-        assertEquals(2, outcome.faults().size(), outcome.faults().toString());
-        assertTrue(outcome.faults().get(0).startsWith("expected a credit of 1.000 at the least, it was 0."));
+        assertEquals(2, outcome.failures().size(), outcome.failures().toString());
+        assertTrue(outcome.failures().get(0).startsWith("expected a credit of 1.000 at the least, it was 0."));
         assertTrue(Files.readString(out.resolve("table.txt")).contains("fault: expected"));
     }
 }
--- a/testbed/src/main/java/pearladder/testbed/InvariantChecker.java
+++ b/testbed/src/main/java/pearladder/testbed/InvariantChecker.java
@@ -81,13 +81,13 @@
         }
 
         private String result(Invariant rule) {
-            long broken = broken(rule);
+            long broken = violationCount(rule);
             return (broken == 0 ? "kept" : "BROKEN " + broken + " times") + ", " + checkedCounts.get(rule)
                     + " looked at";
         }
 
         /** Returns the number of violations of a rule. */
-        long broken(Invariant rule) {
+        long violationCount(Invariant rule) {
             return violations.stream()
                     .filter(violation -> violation.rule() == rule)
                     .count();
--- a/testbed/src/main/java/pearladder/testbed/LoadGenerator.java
+++ b/testbed/src/main/java/pearladder/testbed/LoadGenerator.java
@@ -197,7 +197,8 @@
             return;
         }
         RequestSource.ScheduledRequest scheduled = pendingRequest.scheduled;
-        long timeToDeadline = Math.min(remaining, Math.round(pendingRequest.terms.deadline() * scheduled.patience()));
+        long timeToDeadline =
+                Math.min(remaining, Math.round(pendingRequest.terms.deadline() * scheduled.attemptTimeoutShare()));
         ClientLoadBalancer.Target target = loadBalancer.next(scheduled.zone(), now);
         String id = "c" + scheduled.number() + "." + pendingRequest.attempts++;
         statistics.recordAttempt();
--- a/testbed/src/main/java/pearladder/testbed/RequestSource.java
+++ b/testbed/src/main/java/pearladder/testbed/RequestSource.java
@@ -11,7 +11,7 @@
      * @param tenant the tenant; empty for none
      * @param zone the zone of the client
      * @param work processing time on a standard core, in nanoseconds
-     * @param patience attempt timeout as a share of the deadline, 0 to 1
+     * @param attemptTimeoutShare attempt timeout as a share of the deadline, 0 to 1
      */
     record ScheduledRequest(
             long dueAfter,
@@ -21,7 +21,7 @@
             String model,
             String zone,
             long work,
-            double patience) {}
+            double attemptTimeoutShare) {}
 
     /** Returns the next request, or null if there are no more. */
     ScheduledRequest next();
--- a/testbed/src/main/java/pearladder/testbed/Results.java
+++ b/testbed/src/main/java/pearladder/testbed/Results.java
@@ -62,7 +62,7 @@
         verdict.checkedCounts().forEach((rule, count) -> rules.addObject()
                 .put("rule", rule.description())
                 .put("looked", count)
-                .put("broken", verdict.broken(rule)));
+                .put("broken", verdict.violationCount(rule)));
         ArrayNode lines = results.putArray("table");
         table.forEach(lines::add);
         return results;
