--- a/simulation/src/main/java/pearladder/simulation/SimulatedRouter.java
+++ b/simulation/src/main/java/pearladder/simulation/SimulatedRouter.java
@@ -140,7 +140,7 @@
         return scheduled::cancel;
     }
 
-    /** Runs a task of this router after a delay, by the rules of {@link #scriptFile}. */
+    /** Runs a task of this router after a delay, by the rules of {@link #run}. */
     Timeline.ScheduledTask after(long nanos, Runnable task) {
         return time.after(nanos, () -> run(task));
     }
