--- a/cli/src/test/java/pearladder/architecture/ArchitectureTest.java
+++ b/cli/src/test/java/pearladder/architecture/ArchitectureTest.java
@@ -28,57 +28,59 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Which module may import which, and what decisions stay away from; {@link Layer} holds the arrows. */
+/** Checks the imports between modules that {@link Layer} allows, and that decisions do no I/O and read no clock. */
 class ArchitectureTest {
     private static final String ROOT = "pearladder";
 
-    /** Each line is work not done yet: remove lines, never add any. */
+    /** Violations still to be fixed: remove entries, never add any. */
     private static final List<KnownViolation> KNOWN_VIOLATIONS = List.of(
             new KnownViolation(
                     Layer.SETTINGS,
                     Layer.DECISIONS,
-                    "the readers make the policy's own values; the arrow is not drawn"),
+                    "the readers make the policy's own values; the import is not in Layer"),
             new KnownViolation(
                     Layer.EVENTLOG,
                     Layer.DECISIONS,
-                    "metering from a log applies the rule for memory-seconds; the arrow is not drawn"),
+                    "metering from a log applies the rule for memory-seconds; the import is not in Layer"),
             new KnownViolation(
                     Layer.EMULATOR,
                     Layer.KSERVE,
                     "models and endpoints are described by KServe's values, outside the net package"),
             new KnownViolation(
-                    Layer.EMULATOR, Layer.CONFIG, "the fleet's plan is read from YAML; the arrow is not drawn"),
+                    Layer.EMULATOR, Layer.CONFIG, "the fleet's plan is read from YAML; the import is not in Layer"),
             new KnownViolation(
                     Layer.TESTBED,
                     Layer.DECISIONS,
-                    "measures a decision's cost and scripts rollouts; the arrow is not drawn"),
+                    "measures a decision's cost and scripts rollouts; the import is not in Layer"),
             new KnownViolation(
                     Layer.TESTBED,
                     Layer.CONFIG,
-                    "scenarios and experiments are read from YAML; the arrow is not drawn"),
+                    "scenarios and experiments are read from YAML; the import is not in Layer"),
             new KnownViolation(
                     Layer.SIMULATION,
                     Layer.TESTBED,
-                    "scenarios, load and the invariant checker are shared with the testbed; the arrow is not drawn"),
+                    "scenarios, load and the invariant checker come from the testbed; the import is not in Layer"),
             new KnownViolation(
                     Layer.SIMULATION,
                     Layer.KSERVE_ROUTER,
                     "simulated routers run the KServe router's configuration, endpoint list and rollouts"),
-            new KnownViolation(Layer.SIMULATION, Layer.KSERVE, "simulated endpoints speak in KServe's values"),
+            new KnownViolation(Layer.SIMULATION, Layer.KSERVE, "simulated endpoints use KServe's values"),
             new KnownViolation(
-                    Layer.SIMULATION, Layer.DECISIONS, "reports the policy's events itself; the arrow is not drawn"),
+                    Layer.SIMULATION,
+                    Layer.DECISIONS,
+                    "reports the policy's events itself; the import is not in Layer"),
             new KnownViolation(
                     Layer.SIMULATION,
                     Layer.CONFIG,
-                    "hands scenarios and router settings to their readers as YAML; the arrow is not drawn"));
+                    "hands scenarios and router settings to their readers as YAML; the import is not in Layer"));
 
-    private static final ArchRule ARROWS = classes().should(importOnlyAllowedModules());
+    private static final ArchRule ALLOWED_IMPORTS = classes().should(importOnlyAllowedModules());
 
     /** java.nio.charset is allowed: it turns text into bytes and does no I/O. */
     private static final ArchRule DECISIONS_DO_NO_IO = noClasses()
             .that(belongTo(Layer.DECISIONS))
             .should()
-            .dependOnClassesThat(describe("do I/O, run threads or write logs", ArchitectureTest::isOutsideWorld));
+            .dependOnClassesThat(describe("do I/O, run threads or write logs", ArchitectureTest::isIoThreadOrLogging));
 
     private static final ArchRule DECISIONS_READ_NO_CLOCK = noClasses()
             .that(belongTo(Layer.DECISIONS))
@@ -101,8 +103,8 @@
     }
 
     @Test
-    void modulesImportOnlyWhatTheArrowsAllow() {
-        ARROWS.check(program);
+    void modulesImportOnlyAllowedModules() {
+        ALLOWED_IMPORTS.check(program);
     }
 
     @Test
@@ -126,11 +128,11 @@
 
     @Test
     void everyClassBelongsToAModule() {
-        List<String> lost = program.stream()
+        List<String> classesWithoutModule = program.stream()
                 .filter(type -> Layer.of(type).isEmpty())
                 .map(JavaClass::getName)
                 .toList();
-        assertEquals(List.of(), lost);
+        assertEquals(List.of(), classesWithoutModule);
     }
 
     @Test
@@ -142,17 +144,17 @@
 
     @Test
     void everyKnownViolationIsStillThere() {
-        List<KnownViolation> gone = KNOWN_VIOLATIONS.stream()
+        List<KnownViolation> fixedViolations = KNOWN_VIOLATIONS.stream()
                 .filter(known -> program.stream()
                         .flatMap(type -> type.getDirectDependenciesFromSelf().stream())
                         .noneMatch(dependency -> isKnown(known, dependency)))
                 .toList();
-        assertEquals(List.of(), gone, "remove these lines from KNOWN_VIOLATIONS");
+        assertEquals(List.of(), fixedViolations, "remove these lines from KNOWN_VIOLATIONS");
     }
 
     @Test
-    void anImportAgainstTheArrowsIsReported() {
-        assertReports(ARROWS, "ImportsCommandLine");
+    void forbiddenImportIsReported() {
+        assertReports(ALLOWED_IMPORTS, "ImportsCommandLine");
     }
 
     @Test
@@ -165,7 +167,7 @@
         assertReports(DECISIONS_READ_NO_CLOCK, "ReadsClock");
     }
 
-    /** Of the misplaced test classes, the rule reports the named one and no other. */
+    /** Asserts that the rule reports only the named one of the test classes that violate the architecture. */
     private static void assertReports(ArchRule rule, String misplaced) {
         JavaClasses fixtures = new ClassFileImporter().importPackages("pearladder.routing.violation");
         EvaluationResult result = rule.evaluate(fixtures);
@@ -178,7 +180,7 @@
         return describe("belong to " + layer, layer::contains);
     }
 
-    private static boolean isOutsideWorld(JavaClass type) {
+    private static boolean isIoThreadOrLogging(JavaClass type) {
         String name = type.getName();
         boolean io = name.startsWith("java.io.") || name.startsWith("java.net.") || name.startsWith("java.nio.");
         boolean threads = name.startsWith("java.util.concurrent.") || type.isEquivalentTo(Thread.class);
@@ -186,7 +188,7 @@
     }
 
     private static ArchCondition<JavaClass> importOnlyAllowedModules() {
-        return new ArchCondition<>("import only the modules that the arrows allow") {
+        return new ArchCondition<>("import only the modules that Layer allows") {
             @Override
             public void check(JavaClass type, ConditionEvents events) {
                 for (Dependency dependency : type.getDirectDependenciesFromSelf()) {
--- a/cli/src/test/java/pearladder/architecture/KnownViolation.java
+++ b/cli/src/test/java/pearladder/architecture/KnownViolation.java
@@ -1,7 +1,7 @@
 package pearladder.architecture;
 
 /**
- * An import against the arrows that was there before the rule.
+ * A forbidden import that existed before the rule.
  *
  * @param from the module that imports
  * @param to the module that is imported
--- a/cli/src/test/java/pearladder/architecture/Layer.java
+++ b/cli/src/test/java/pearladder/architecture/Layer.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The modules with their packages and the modules each may import. The names of packages stand here only. */
+/** The modules, their packages and the modules that each may import. Package names are defined only here. */
 enum Layer {
     DECISIONS(
             "pearladder.routing",
@@ -40,7 +40,7 @@
         this.packages = List.of(packages);
     }
 
-    /** The modules this one may import besides itself. */
+    /** Returns the other modules that this module may import. */
     Set<Layer> mayImport() {
         return switch (this) {
             case DECISIONS, KSERVE, CONFIG, EVENTLOG, SETTINGS, EMULATOR -> Set.of();
@@ -59,7 +59,7 @@
         return of(type).filter(layer -> layer == this).isPresent();
     }
 
-    /** The module with the longest package name that holds the class; empty for a class of no module. */
+    /** Returns the module with the longest package prefix of the class; empty if no module contains it. */
     static Optional<Layer> of(JavaClass type) {
         return Arrays.stream(values())
                 .filter(layer -> layer.prefixLength(type) > 0)
--- a/cli/src/test/java/pearladder/routing/violation/ImportsCommandLine.java
+++ b/cli/src/test/java/pearladder/routing/violation/ImportsCommandLine.java
@@ -2,7 +2,7 @@
 
 import pearladder.cli.Main;
 
-/** Against the arrows: a decision that knows the command line. */
+/** Violates the allowed imports: a decision that imports the command line. */
 final class ImportsCommandLine {
     private ImportsCommandLine() {}
 
--- a/cli/src/test/java/pearladder/routing/violation/OpensFile.java
+++ b/cli/src/test/java/pearladder/routing/violation/OpensFile.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Against the rule for decisions: does I/O. */
+/** Violates the rule that decisions do no I/O. */
 final class OpensFile {
     private OpensFile() {}
 
--- a/cli/src/test/java/pearladder/routing/violation/ReadsClock.java
+++ b/cli/src/test/java/pearladder/routing/violation/ReadsClock.java
@@ -1,6 +1,6 @@
 package pearladder.routing.violation;
 
-/** Against the rule for decisions: reads a clock. */
+/** Violates the rule that decisions read no clock. */
 final class ReadsClock {
     private ReadsClock() {}
 
--- a/cli/src/test/java/pearladder/routing/violation/package-info.java
+++ b/cli/src/test/java/pearladder/routing/violation/package-info.java
@@ -1,2 +1,2 @@
-/** Classes placed against the architecture on purpose; only {@code ArchitectureTest} reads them. */
+/** Classes that violate the architecture on purpose; only {@code ArchitectureTest} reads them. */
 package pearladder.routing.violation;
