--- a/cli/src/test/java/pearladder/cli/soak/Background.java
+++ b/cli/src/test/java/pearladder/cli/soak/Background.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import org.msgpack.core.MessageInsufficientBufferException;
 
-/** Threads that end with their sockets. */
+/** Starts daemon threads that end quietly when their socket is closed or they are interrupted. */
 final class Background {
     interface Task {
         void run() throws IOException, InterruptedException;
@@ -16,7 +16,7 @@
             try {
                 task.run();
             } catch (IOException | MessageInsufficientBufferException closed) {
-                // the other side has gone
+                // the connection was closed
             } catch (InterruptedException stopped) {
                 Thread.currentThread().interrupt();
             }
--- a/cli/src/test/java/pearladder/cli/soak/ClientWire.java
+++ b/cli/src/test/java/pearladder/cli/soak/ClientWire.java
@@ -8,7 +8,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** The messages of a client. */
+/** Encodes the messages of a client. */
 final class ClientWire {
     private static final int FUNCTIONS = 8;
 
@@ -41,12 +41,12 @@
         }
     }
 
-    /** Whether clients send requests of the function. */
+    /** Returns whether clients send requests for the function. */
     static boolean isFunction(String id) {
         return id != null && id.matches("0{15}[0-" + (FUNCTIONS - 1) + "]");
     }
 
-    /** The idempotency key of a request, by its id. */
+    /** Returns the idempotency key of the request with the given id. */
     static String key(String id) {
         return "k" + id;
     }
--- a/cli/src/test/java/pearladder/cli/soak/FloodClient.java
+++ b/cli/src/test/java/pearladder/cli/soak/FloodClient.java
@@ -7,11 +7,11 @@
 import java.net.Socket;
 import java.util.Random;
 
-/** A bad client: a flood, garbage, half a message, or silence, on one connection that it closes some time later. */
+/** A misbehaving client that sends a flood, garbage, half a message or nothing, then closes its connection. */
 final class FloodClient {
     private static final String ID_PREFIX = "f100d";
     private static final int REQUESTS = 300;
-    private static final int MAX_STAY_MILLIS = 1500;
+    private static final int MAX_HOLD_MILLIS = 1500;
 
     private FloodClient() {}
 
@@ -22,12 +22,12 @@
     static void start(SoakRouter router, Random random) {
         int kind = random.nextInt(5);
         long salt = random.nextInt(1 << 20);
-        int stay = random.nextInt(MAX_STAY_MILLIS);
+        int holdMillis = random.nextInt(MAX_HOLD_MILLIS);
         Background.run(() -> {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), router.port)) {
                 socket.getOutputStream().write(bytes(kind, salt));
                 Background.run(() -> socket.getInputStream().transferTo(OutputStream.nullOutputStream()));
-                Thread.sleep(stay);
+                Thread.sleep(holdMillis);
             }
         });
     }
--- a/cli/src/test/java/pearladder/cli/soak/MachineLateness.java
+++ b/cli/src/test/java/pearladder/cli/soak/MachineLateness.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures how late this process itself runs. What it sees of routers is late by as much, so each time bound is widened
- * by the lateness measured within it.
+ * Measures scheduling delays of the test process. They delay its observations of routers equally, so each time bound is
+ * extended by the delay measured within it.
  */
 final class MachineLateness {
     private static final long TICK_MILLIS = 2;
-    private static final long NOTED_MILLIS = 5;
+    private static final long MIN_RECORDED_DELAY_MILLIS = 5;
 
-    private record Late(long from, long until) {}
+    private record Delay(long from, long until) {}
 
-    private final List<Late> late = new ArrayList<>();
+    private final List<Delay> delays = new ArrayList<>();
     private long longestMillis;
 
     void start() {
@@ -22,24 +22,24 @@
             while (true) {
                 long before = System.nanoTime();
                 Thread.sleep(TICK_MILLIS);
-                note(before, System.nanoTime());
+                recordDelay(before, System.nanoTime());
             }
         });
     }
 
-    private synchronized void note(long before, long now) {
+    private synchronized void recordDelay(long before, long now) {
         long millis = TimeUnit.NANOSECONDS.toMillis(now - before) - TICK_MILLIS;
-        if (millis > NOTED_MILLIS) {
-            late.add(new Late(before, now));
+        if (millis > MIN_RECORDED_DELAY_MILLIS) {
+            delays.add(new Delay(before, now));
             longestMillis = Math.max(longestMillis, millis);
         }
     }
 
-    /** Milliseconds by which this process was late between two moments, in all. */
+    /** Returns the total scheduling delay of this process between two times, in milliseconds. */
     synchronized long millis(long from, long until) {
         long nanos = 0;
-        for (Late one : late) {
-            nanos += Math.max(0, Math.min(until, one.until) - Math.max(from, one.from));
+        for (Delay delay : delays) {
+            nanos += Math.max(0, Math.min(until, delay.until) - Math.max(from, delay.from));
         }
         return TimeUnit.NANOSECONDS.toMillis(nanos);
     }
--- a/cli/src/test/java/pearladder/cli/soak/PlatformSoakTest.java
+++ b/cli/src/test/java/pearladder/cli/soak/PlatformSoakTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Real router processes, started as the operators start them, under random, overlapping faults ({@link SoakFaults}),
- * with deadlines and a size of the fleet by the seed, judged by {@link SoakInvariants} and {@link RouterStarts}.
+ * Runs router processes, started as operators start them, under random, overlapping faults ({@link SoakFaults}), with
+ * deadlines and a fleet size drawn from the seed, and checks {@link SoakInvariants} and {@link RouterStarts}.
  * {@code -Dsoak.seed}, {@code -Dsoak.seeds}, {@code -Dsoak.routers}, {@code -Dsoak.workers} and
- * {@code -Dsoak.seconds} choose another run; what the faults are follows from the seed, the timing from the machine.
+ * {@code -Dsoak.seconds} select another run. The seed determines the faults; their timing depends on the machine.
  */
 @Timeout(7200)
 class PlatformSoakTest {
@@ -27,7 +27,7 @@
     private static final int MIN_FAULT_PAUSE_MILLIS = 20;
     private static final int FAULT_PAUSE_RANGE_MILLIS = 250;
     private static final int MIN_SUCCESSES_PERCENT = 30;
-    private static final int MAX_PRINTED_BREAKS = 10;
+    private static final int MAX_PRINTED_VIOLATIONS = 10;
 
     @TempDir
     Path folder;
@@ -54,9 +54,9 @@
         fleet = new SoakFleet(settings, folder, ROUTERS, lateness, seed);
         SoakInvariants.RouterEnds ends = new SoakInvariants.RouterEnds();
         SoakFaults faults = new SoakFaults(fleet, ends, random);
-        long until = System.nanoTime() + SECONDS * 1_000_000_000L;
-        List<Thread> clients = fleet.startClients(seed, until);
-        while (System.nanoTime() < until) {
+        long endNanos = System.nanoTime() + SECONDS * 1_000_000_000L;
+        List<Thread> clients = fleet.startClients(seed, endNanos);
+        while (System.nanoTime() < endNanos) {
             faults.injectOne();
             Thread.sleep(MIN_FAULT_PAUSE_MILLIS + random.nextInt(FAULT_PAUSE_RANGE_MILLIS));
         }
@@ -65,10 +65,10 @@
         }
         faults.await();
         SoakInvariants invariants = new SoakInvariants(fleet.clock, ends, lateness);
-        List<String> breaks = new ArrayList<>(invariants.check(fleet.requests.values(), fleet.loadRequests));
-        breaks.addAll(faults.failures());
-        breaks.addAll(fleet.starts.check());
-        fleet.unknownIds.forEach(id -> breaks.add("no client sent " + id));
+        List<String> violations = new ArrayList<>(invariants.check(fleet.requests.values(), fleet.loadRequests));
+        violations.addAll(faults.failures());
+        violations.addAll(fleet.starts.check());
+        fleet.unknownIds.forEach(id -> violations.add("no client sent " + id));
         long successes = fleet.successes();
         int count = fleet.requests.size();
         System.out.printf(
@@ -79,20 +79,20 @@
                 ROUTERS,
                 count,
                 successes,
-                breaks.size(),
-                invariants.uncounted(),
+                violations.size(),
+                invariants.toleratedViolations(),
                 fleet.starts.longestMillis(),
                 lateness.longestMillis());
-        breaks.stream().limit(MAX_PRINTED_BREAKS).forEach(System.out::println);
-        assertEquals(List.of(), breaks, () -> evidence(breaks));
-        assertTrue(successes * 100 > count * MIN_SUCCESSES_PERCENT, successes + " of " + count);
+        violations.stream().limit(MAX_PRINTED_VIOLATIONS).forEach(System.out::println);
+        assertEquals(List.of(), violations, () -> violationReport(violations));
+        assertTrue(successes * 100 > count * MIN_SUCCESSES_PERCENT, successes + " successful of " + count);
     }
 
-    private String evidence(List<String> breaks) {
+    private String violationReport(List<String> violations) {
         StringBuilder text = new StringBuilder();
-        breaks.forEach(line -> text.append(line).append('\n'));
+        violations.forEach(line -> text.append(line).append('\n'));
         fleet.routers.stream()
-                .filter(router -> breaks.stream().anyMatch(line -> line.startsWith(router.name + " ")))
+                .filter(router -> violations.stream().anyMatch(line -> line.startsWith(router.name + " ")))
                 .limit(2)
                 .forEach(router ->
                         text.append("== ").append(router.name).append('\n').append(router.log()));
--- a/cli/src/test/java/pearladder/cli/soak/RouterStarts.java
+++ b/cli/src/test/java/pearladder/cli/soak/RouterStarts.java
@@ -3,45 +3,46 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The platform's rules on starts, judged from what a front sees: no crash, and ready in time. */
+/** Checks router starts as observed through health checks: no crash, and ready within the time limits. */
 final class RouterStarts {
-    /** No router may take longer to be ready. */
+    /** Maximum time for any router to become ready. */
     private static final long MAX_READY_MILLIS = 30_000;
-    /** Nine in ten restarted routers are ready within it. */
+    /** Time within which nine in ten restarted routers must become ready. */
     private static final long USUAL_READY_MILLIS = 10_000;
 
-    private static final int LATE_STARTS_DIVISOR = 10;
+    private static final int SLOW_STARTS_DIVISOR = 10;
 
-    private final List<String> breaks = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final List<Long> readyMillis = new ArrayList<>();
 
-    /** @param lateMillis how late the judge itself ran meanwhile */
-    synchronized void onReady(String router, long millis, long lateMillis) {
-        long counted = millis - lateMillis;
-        readyMillis.add(counted);
-        if (counted > MAX_READY_MILLIS) {
-            breaks.add(router + " was ready after " + counted + " ms");
+    /** @param testDelayMillis scheduling delay of the test process during the start */
+    synchronized void onReady(String router, long millis, long testDelayMillis) {
+        long adjustedMillis = millis - testDelayMillis;
+        readyMillis.add(adjustedMillis);
+        if (adjustedMillis > MAX_READY_MILLIS) {
+            violations.add(router + " was ready after " + adjustedMillis + " ms");
         }
     }
 
-    /** A router that nobody had told to stop or killed has ended, or does not answer whether it is ready. */
-    synchronized void onCrash(String router, String how) {
-        breaks.add(router + " " + how);
+    /** Records a router that ended without being stopped or killed, or that does not become ready. */
+    synchronized void onCrash(String router, String description) {
+        violations.add(router + " " + description);
     }
 
     synchronized long longestMillis() {
         return readyMillis.stream().mapToLong(millis -> millis).max().orElse(0);
     }
 
-    /** @return a line for each break of a rule */
+    /** @return a line for each violation */
     synchronized List<String> check() {
-        List<String> all = new ArrayList<>(breaks);
-        long late = readyMillis.stream()
+        List<String> allViolations = new ArrayList<>(violations);
+        long slowStarts = readyMillis.stream()
                 .filter(millis -> millis > USUAL_READY_MILLIS)
                 .count();
-        if (late * LATE_STARTS_DIVISOR > readyMillis.size()) {
-            all.add(late + " of " + readyMillis.size() + " starts took longer than " + USUAL_READY_MILLIS + " ms");
+        if (slowStarts * SLOW_STARTS_DIVISOR > readyMillis.size()) {
+            allViolations.add(slowStarts + " of " + readyMillis.size() + " starts took longer than "
+                    + USUAL_READY_MILLIS + " ms");
         }
-        return all;
+        return allViolations;
     }
 }
--- a/cli/src/test/java/pearladder/cli/soak/SoakAcceptor.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakAcceptor.java
@@ -10,7 +10,7 @@
 import java.nio.channels.SocketChannel;
 import java.util.function.Consumer;
 
-/** Accepts connections at many addresses on one thread, so that a process can stand for thousands of workers. */
+/** Accepts connections at many addresses on one thread, so that one process can simulate thousands of workers. */
 final class SoakAcceptor implements AutoCloseable {
     private static final int BACKLOG = 200;
 
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Opens an address.
+     * Listens on a free port.
      *
      * @param onAccepted receives each connection, in blocking mode; it must not block
      * @return the port
--- a/cli/src/test/java/pearladder/cli/soak/SoakClient.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakClient.java
@@ -10,15 +10,15 @@
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.ArrayValue;
 
-/** An ordinary client of one router: some requests at a time, some of which it withdraws; it reconnects when closed. */
+/** A well-behaved client of one router: pipelines requests, cancels some, and reconnects after a close. */
 final class SoakClient {
     private static final int MAX_PAUSE_MILLIS = 150;
-    /** A client waits for this part of its class's deadline at the least. */
+    /** Minimum budget of a request, as a fraction of the deadline of its class. */
     private static final double MIN_BUDGET_SHARE = 0.6;
 
     private static final int MAX_BODY_BYTES = 3000;
-    private static final int WITHDRAWN_PERCENT = 6;
-    private static final int CLOSES_PERCENT = 1;
+    private static final int CANCEL_PERCENT = 6;
+    private static final int CLOSE_PERCENT = 1;
 
     private final SoakRouter router;
     private final SoakSettings settings;
@@ -36,37 +36,37 @@
         this.idBase = (long) (number + 1) << 32;
     }
 
-    /** Sends requests until a moment; a {@code nanoTime}. */
-    Thread start(long until) {
+    /** Sends requests until the given {@code nanoTime}. */
+    Thread start(long endNanos) {
         return Background.run(() -> {
-            while (System.nanoTime() < until) {
+            while (System.nanoTime() < endNanos) {
                 if (router.isOpenForConnections()) {
-                    useOneConnection(until);
+                    sendOnOneConnection(endNanos);
                 }
                 Thread.sleep(20);
             }
         });
     }
 
-    private void useOneConnection(long until) throws InterruptedException {
+    private void sendOnOneConnection(long endNanos) throws InterruptedException {
         Map<Long, SoakRequest> open = new ConcurrentHashMap<>();
         int incarnation = router.incarnation();
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), router.port)) {
             AtomicBoolean ended = new AtomicBoolean();
             Background.run(() -> readAnswers(socket, open, ended));
-            for (int number = 1; System.nanoTime() < until && !ended.get(); number++) {
+            for (int number = 1; System.nanoTime() < endNanos && !ended.get(); number++) {
                 send(socket, number, incarnation, open);
-                if (random.nextInt(100) < WITHDRAWN_PERCENT) {
-                    withdraw(socket, number, open);
+                if (random.nextInt(100) < CANCEL_PERCENT) {
+                    cancel(socket, number, open);
                 }
-                if (random.nextInt(100) < CLOSES_PERCENT) {
+                if (random.nextInt(100) < CLOSE_PERCENT) {
                     open.values().forEach(SoakRequest::onLeft);
                     return;
                 }
                 Thread.sleep(random.nextInt(MAX_PAUSE_MILLIS));
             }
             if (ended.get()) {
-                // what was written after the reader had seen the end crossed it
+                // the connection was closed while these requests were being written
                 open.values().forEach(SoakRequest::onConnectionLost);
             }
             awaitAnswers(open);
@@ -89,7 +89,7 @@
         socket.getOutputStream().write(ClientWire.request(number, requestClass.method, id, budget, body));
     }
 
-    private void withdraw(Socket socket, int number, Map<Long, SoakRequest> open)
+    private void cancel(Socket socket, int number, Map<Long, SoakRequest> open)
             throws IOException, InterruptedException {
         Thread.sleep(random.nextInt(MAX_PAUSE_MILLIS));
         SoakRequest request = open.remove((long) number);
--- a/cli/src/test/java/pearladder/cli/soak/SoakCrowd.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakCrowd.java
@@ -6,25 +6,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Clients that connect all at once, say nothing, and close some time later. */
+/** Opens many idle client connections at once and closes them after a delay. */
 final class SoakCrowd {
-    /** The share of the descriptor limit that clients may hold. */
+    /** Client connections may use at most one in this many file descriptors. */
     private static final int CLIENT_SHARE_DIVISOR = 3;
     /** {@code sockets} of the configuration. */
     private static final int DESCRIPTOR_LIMIT = 512;
-    /** Left for the other clients of the router. */
-    private static final int OTHER_CLIENTS = 20;
+    /** Connections reserved for the router's other clients. */
+    private static final int RESERVED_CONNECTIONS = 20;
 
     private SoakCrowd() {}
 
-    static void start(SoakRouter router, int stayMillis) {
+    static void start(SoakRouter router, int holdMillis) {
         Background.run(() -> {
             List<Socket> sockets = new ArrayList<>();
             try {
-                for (int i = 0; i < DESCRIPTOR_LIMIT / CLIENT_SHARE_DIVISOR - OTHER_CLIENTS; i++) {
+                for (int i = 0; i < DESCRIPTOR_LIMIT / CLIENT_SHARE_DIVISOR - RESERVED_CONNECTIONS; i++) {
                     sockets.add(new Socket(InetAddress.getLoopbackAddress(), router.port));
                 }
-                Thread.sleep(stayMillis);
+                Thread.sleep(holdMillis);
             } finally {
                 for (Socket socket : sockets) {
                     close(socket);
--- a/cli/src/test/java/pearladder/cli/soak/SoakDiscovery.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakDiscovery.java
@@ -10,18 +10,18 @@
 import java.util.List;
 import java.util.concurrent.Executors;
 
-/** A discovery service with long polls that can be out of reach in several ways. */
+/** A discovery service with long polls and several kinds of outage. */
 final class SoakDiscovery implements AutoCloseable {
-    /** How the service is out of reach. */
+    /** The kinds of outage. */
     enum Outage {
         SILENT,
         REFUSED,
         FAILING,
-        /** Half of a response, then the connection is closed. */
+        /** Sends half of a response, then closes the connection. */
         PARTIAL,
-        /** Events that routers have already, and none of the new ones. */
+        /** Sends only events that routers have already received. */
         OLD_EVENTS,
-        /** Responses come late and in pieces. */
+        /** Sends responses late and in pieces. */
         SLOW
     }
 
@@ -37,7 +37,7 @@
     private volatile Outage outage;
     private volatile long outageUntil;
 
-    /** @param clock is told of each outage */
+    /** @param clock receives each outage */
     SoakDiscovery(List<String> members, ToldClock clock) throws IOException {
         this.clock = clock;
         events.add(event(1, true, String.join(",", members)));
@@ -66,22 +66,22 @@
         return port;
     }
 
-    synchronized void tell(String members) {
+    synchronized void publish(String members) {
         events.add(event(events.size() + 1, false, members));
     }
 
-    /** Tells the whole list once more. */
-    synchronized void tellAll(List<String> members) {
+    /** Publishes the full list of workers as one event. */
+    synchronized void publishAll(List<String> members) {
         events.add(event(events.size() + 1, true, String.join(",", members)));
     }
 
-    /** The whole list as one event, as a configuration holds it that was written now. */
-    synchronized String knownWhole(List<String> members) {
+    /** Returns the full list of workers as one event, in the form of {@code known} in the configuration. */
+    synchronized String knownAsFullList(List<String> members) {
         int last = events.size();
         return "{\"n\":" + last + ",\"events\":[" + event(last, true, String.join(",", members)) + "]}";
     }
 
-    /** All that was told so far, as a configuration holds it. */
+    /** Returns all events published so far, in the form of {@code known} in the configuration. */
     synchronized String known() {
         return response(0, events.size());
     }
@@ -95,13 +95,13 @@
         return events.size();
     }
 
-    boolean isOut() {
+    boolean isInOutage() {
         return System.nanoTime() < outageUntil;
     }
 
-    /** Begins an outage that ends by itself; one that is under way goes on instead. */
+    /** Starts an outage that ends after the given time; does nothing during an outage. */
     void startOutage(Outage kind, long millis) throws IOException {
-        if (isOut()) {
+        if (isInOutage()) {
             return;
         }
         long now = System.nanoTime();
@@ -123,13 +123,13 @@
         long wait = Long.parseLong(query.replaceAll(".*wait=([0-9]+).*", "$1"));
         long until = System.nanoTime() + wait * 1_000_000;
         try {
-            while (isOut() && outage == Outage.SILENT || lastNumber() <= from && System.nanoTime() < until) {
+            while (isInOutage() && outage == Outage.SILENT || lastNumber() <= from && System.nanoTime() < until) {
                 Thread.sleep(POLL_MILLIS);
             }
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
-        if (isOut()) {
+        if (isInOutage()) {
             answerInOutage(exchange, from);
         } else {
             write(exchange, 200, response(from, lastNumber()));
--- a/cli/src/test/java/pearladder/cli/soak/SoakFaults.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakFaults.java
@@ -7,32 +7,32 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The faults of a run, drawn at random. Each may overlap any other. */
+/** Injects faults chosen at random, which may overlap. */
 final class SoakFaults {
-    /** Shorter than the grace of an answer: whoever is stopped for longer can't answer in time. */
-    private static final int MAX_STOP_MILLIS = 300;
+    /** Shorter than the answer grace period, as a router that is paused for longer can't answer in time. */
+    private static final int MAX_PAUSE_MILLIS = 300;
 
-    private static final int MIN_STOP_MILLIS = 20;
+    private static final int MIN_PAUSE_MILLIS = 20;
     private static final int MIN_OUTAGE_MILLIS = 2000;
     private static final int MAX_OUTAGE_MILLIS = 20_000;
-    private static final int MAX_CROWD_STAY_MILLIS = 4000;
+    private static final int MAX_IDLE_CONNECTIONS_MILLIS = 4000;
     private static final int MAX_RELOADS = 4;
     private static final int RELOAD_PAUSE_MILLIS = 250;
-    /** One in so many workers changes state at once, at the most. */
+    /** At most one in this many workers changes state at once. */
     private static final int MAX_CHANGED_DIVISOR = 20;
 
-    private static final int WHOLE_LIST_PERCENT = 15;
-    private static final int PIECES = 10;
+    private static final int FULL_LIST_PERCENT = 15;
+    private static final int EVENTS_IN_SUCCESSION = 10;
     private static final int MAX_START_MILLIS = 1500;
-    /** A process that is told to stop while it starts needs this on top of the time for a stop. */
-    private static final long START_MILLIS = 6000;
+    /** Additional time to stop for a process that receives SIGTERM while it starts. */
+    private static final long EXTRA_STOP_MILLIS_DURING_START = 6000;
 
-    /** A process that stood still around SIGTERM may be late for the kill; more than these would be a fault. */
+    /** A process that was paused around SIGTERM may miss its kill deadline; more kills are a fault. */
     private static final int MAX_KILLS = 2;
 
-    private static final int STOPS_FOR_ONE_KILL = 4;
+    private static final int STOPS_PER_TOLERATED_KILL = 4;
 
-    private static final int EXIT_BY_SIGTERM = 143;
+    private static final int SIGTERM_EXIT_STATUS = 143;
 
     private final SoakFleet fleet;
     private final SoakInvariants.RouterEnds ends;
@@ -40,7 +40,7 @@
     private final List<String> failures = Collections.synchronizedList(new ArrayList<>());
     private final AtomicInteger stops = new AtomicInteger();
     private final AtomicInteger kills = new AtomicInteger();
-    private final List<Thread> running = new ArrayList<>();
+    private final List<Thread> faultThreads = new ArrayList<>();
     private int replacements;
 
     SoakFaults(SoakFleet fleet, SoakInvariants.RouterEnds ends, Random random) {
@@ -49,17 +49,17 @@
         this.random = random;
     }
 
-    /** What routers did wrong when they were told to stop. */
+    /** Returns the violations by routers that received SIGTERM. */
     List<String> failures() {
-        if (kills.get() > MAX_KILLS && kills.get() * STOPS_FOR_ONE_KILL > stops.get()) {
-            failures.add(kills + " of " + stops + " stops were ended by the kill");
+        if (kills.get() > MAX_KILLS && kills.get() * STOPS_PER_TOLERATED_KILL > stops.get()) {
+            failures.add(kills + " of " + stops + " stops exceeded the kill deadline");
         }
         return failures;
     }
 
-    /** Waits until everything that was begun has ended. */
+    /** Waits for all running faults to end. */
     void await() throws InterruptedException {
-        for (Thread thread : running) {
+        for (Thread thread : faultThreads) {
             thread.join();
         }
     }
@@ -70,13 +70,13 @@
         if (fault < 34) {
             FloodClient.start(router, random);
         } else if (fault < 50) {
-            stopForAMoment(router);
+            pauseRouter(router);
         } else if (fault < 66) {
             changeStates();
         } else if (fault < 76) {
             startOutage();
         } else if (fault < 82) {
-            SoakCrowd.start(router, random.nextInt(MAX_CROWD_STAY_MILLIS));
+            SoakCrowd.start(router, random.nextInt(MAX_IDLE_CONNECTIONS_MILLIS));
         } else if (router.isInService()) {
             signal(router, fault);
         }
@@ -94,21 +94,21 @@
         }
     }
 
-    private void begin(Background.Task task) {
-        running.add(Background.run(task));
+    private void startFault(Background.Task task) {
+        faultThreads.add(Background.run(task));
     }
 
-    private void stopForAMoment(SoakRouter router) {
-        int millis = MIN_STOP_MILLIS + random.nextInt(MAX_STOP_MILLIS - MIN_STOP_MILLIS);
+    private void pauseRouter(SoakRouter router) {
+        int millis = MIN_PAUSE_MILLIS + random.nextInt(MAX_PAUSE_MILLIS - MIN_PAUSE_MILLIS);
         if (router.isInService()) {
-            begin(() -> standStill(router, millis));
+            startFault(() -> pause(router, millis));
         }
     }
 
-    private void standStill(SoakRouter router, long millis) throws IOException, InterruptedException {
+    private void pause(SoakRouter router, long millis) throws IOException, InterruptedException {
         long from = System.nanoTime();
-        router.standStill(millis);
-        ends.onStoodStill(router.name, from, System.nanoTime());
+        router.pause(millis);
+        ends.onPaused(router.name, from, System.nanoTime());
     }
 
     private void startOutage() throws IOException {
@@ -117,7 +117,7 @@
         fleet.discovery.startOutage(kind, MIN_OUTAGE_MILLIS + random.nextInt(MAX_OUTAGE_MILLIS - MIN_OUTAGE_MILLIS));
     }
 
-    /** Some workers change state; discovery tells it in one event, in ten in quick succession, or as a whole list. */
+    /** Changes the state of some workers; discovery publishes one event, ten in quick succession, or the full list. */
     private void changeStates() {
         int count = Math.max(1, random.nextInt(Math.max(1, fleet.workers.size() / MAX_CHANGED_DIVISOR)));
         List<String> changes = new ArrayList<>();
@@ -127,17 +127,18 @@
         if (changes.isEmpty()) {
             return;
         }
-        if (random.nextInt(100) < WHOLE_LIST_PERCENT) {
-            fleet.discovery.tellAll(fleet.members());
+        if (random.nextInt(100) < FULL_LIST_PERCENT) {
+            fleet.discovery.publishAll(fleet.members());
             return;
         }
-        int piece = random.nextBoolean() ? changes.size() : changes.size() / PIECES + 1;
-        for (int from = 0; from < changes.size(); from += piece) {
-            fleet.discovery.tell(String.join(",", changes.subList(from, Math.min(changes.size(), from + piece))));
+        int changesPerEvent = random.nextBoolean() ? changes.size() : changes.size() / EVENTS_IN_SUCCESSION + 1;
+        for (int from = 0; from < changes.size(); from += changesPerEvent) {
+            fleet.discovery.publish(
+                    String.join(",", changes.subList(from, Math.min(changes.size(), from + changesPerEvent))));
         }
     }
 
-    /** A worker drains, or one that drains comes back as a new process, under its id or another one. */
+    /** Drains a worker, or replaces a draining one by a new process, with the same id or a new one. */
     private void changeState(SoakWorker worker, List<String> changes) {
         if (worker.drainingSince == 0) {
             if (fleet.drainable() > 0) {
@@ -157,12 +158,12 @@
     }
 
     private void reload(SoakRouter router, int times) {
-        boolean whole = random.nextBoolean();
-        begin(() -> {
+        boolean fullList = random.nextBoolean();
+        startFault(() -> {
             for (int i = 0; i < times && router.isReloadable(); i++) {
                 router.reload(
-                        whole
-                                ? fleet.configuration(router, fleet.discovery.knownWhole(fleet.members()))
+                        fullList
+                                ? fleet.configuration(router, fleet.discovery.knownAsFullList(fleet.members()))
                                 : fleet.configuration(router));
                 Thread.sleep(RELOAD_PAUSE_MILLIS);
             }
@@ -171,18 +172,18 @@
 
     private void restart(SoakRouter router, boolean reloadFirst, boolean signalTwice) {
         ends.onTerminated(router.name, router.incarnation());
-        boolean stands = random.nextBoolean();
+        boolean pauses = random.nextBoolean();
         boolean reloads = reloadFirst && router.isReloadable();
         router.onStopBegins();
-        begin(() -> {
+        startFault(() -> {
             if (reloads) {
                 router.signal("HUP");
             }
-            if (stands) {
-                standStill(router, MIN_STOP_MILLIS);
+            if (pauses) {
+                pause(router, MIN_PAUSE_MILLIS);
             }
             terminate(router, signalTwice, 0);
-            startAgain(router);
+            startAfterStop(router);
         });
     }
 
@@ -191,45 +192,45 @@
         Integer status = router.terminate(fleet.settings.killAfterMillis() + startMillis, signalTwice);
         stops.incrementAndGet();
         if (status == null) {
-            // the kill comes as on the platform; what it finds unanswered is judged as lost
+            // the platform kills the process too; requests that are still unanswered count as lost
             kills.incrementAndGet();
             router.kill();
-        } else if (status != 0 && !isEndedBeforeItsFirstRequest(router, status)) {
+        } else if (status != 0 && !endedBeforeFirstRequest(router, status)) {
             failures.add(router.name + " ended with " + status + " after SIGTERM");
         }
     }
 
-    /** The process is killed, started again, and told to stop while it starts. */
+    /** Kills the process, starts it again, and sends SIGTERM while it starts. */
     private void stopWhileStarting(SoakRouter router, int afterMillis) {
         ends.onKilled(router.name, router.incarnation());
         router.onStopBegins();
-        begin(() -> {
+        startFault(() -> {
             router.kill();
             router.start(fleet.configuration(router));
             ends.onTerminated(router.name, router.incarnation());
             Thread.sleep(afterMillis);
-            terminate(router, false, START_MILLIS);
-            startAgain(router);
+            terminate(router, false, EXTRA_STOP_MILLIS_DURING_START);
+            startAfterStop(router);
         });
     }
 
     private void kill(SoakRouter router) {
         ends.onKilled(router.name, router.incarnation());
         router.onStopBegins();
-        begin(() -> {
+        startFault(() -> {
             router.kill();
-            startAgain(router);
+            startAfterStop(router);
         });
     }
 
-    private void startAgain(SoakRouter router) throws IOException {
+    private void startAfterStop(SoakRouter router) throws IOException {
         router.start(fleet.configuration(router));
         router.onStopEnded();
     }
 
-    /** A process that is told to stop before it handles signals ends by the signal, and owes nobody anything. */
-    private boolean isEndedBeforeItsFirstRequest(SoakRouter router, int status) {
-        return status == EXIT_BY_SIGTERM
+    /** Returns whether SIGTERM ended the process before it handled signals, with no request to answer. */
+    private boolean endedBeforeFirstRequest(SoakRouter router, int status) {
+        return status == SIGTERM_EXIT_STATUS
                 && fleet.requests.values().stream()
                         .noneMatch(request -> request.router.equals(router.name)
                                 && request.routerIncarnation == router.incarnation());
--- a/cli/src/test/java/pearladder/cli/soak/SoakFleet.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakFleet.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The parts of a run: router processes, workers, discovery, clients, and what they saw. */
+/** Holds the routers, workers, discovery service and clients of a run, and the requests they observed. */
 final class SoakFleet implements AutoCloseable {
-    private static final int CLIENTS_OF_EACH_ROUTER = 2;
-    /** What the platform gives a router of this program. */
+    private static final int CLIENTS_PER_ROUTER = 2;
+    /** Memory that the platform gives a router. */
     private static final int MEMORY_MB = 152;
 
     final Map<String, SoakRequest> requests = new ConcurrentHashMap<>();
@@ -48,19 +48,19 @@
 
     List<Thread> startClients(long seed, long untilNanos) {
         List<Thread> clients = new ArrayList<>();
-        for (int i = 0; i < routers.size() * CLIENTS_OF_EACH_ROUTER; i++) {
+        for (int i = 0; i < routers.size() * CLIENTS_PER_ROUTER; i++) {
             SoakRouter router = routers.get(i % routers.size());
             clients.add(new SoakClient(router, settings, requests, i, seed * 1000 + i).start(untilNanos));
         }
         return clients;
     }
 
-    /** With all events as {@code known}. */
+    /** Returns a configuration with all events published so far as {@code known}. */
     String configuration(SoakRouter router) throws IOException {
         return configuration(router, discovery.known());
     }
 
-    /** @param known events, as a configuration holds them */
+    /** @param known events in the form of {@code known} in the configuration */
     String configuration(SoakRouter router, String known) throws IOException {
         return Files.readString(Path.of("..", "deploy", "practice.json"))
                 .replace("\"127.0.0.1:0\"", "\"127.0.0.1:" + router.port + "\"")
@@ -70,13 +70,13 @@
                 .replaceFirst("\"Services\": \\[.*\\],", "\"Services\": [" + settings.services() + "],");
     }
 
-    /** How many more workers may stop serving: half of them do at the most. */
+    /** Returns how many more workers may drain: at most half of all workers may drain at once. */
     long drainable() {
         return workers.size() / 2
                 - workers.stream().filter(worker -> worker.drainingSince != 0).count();
     }
 
-    /** All workers as discovery tells them now. */
+    /** Returns all workers in their current state, in the form of discovery events. */
     List<String> members() {
         return workers.stream()
                 .map(worker -> worker.member(worker.drainingSince == 0 ? "in_service" : "terminating"))
--- a/cli/src/test/java/pearladder/cli/soak/SoakInvariants.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakInvariants.java
@@ -6,27 +6,27 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The platform's rules, judged from what clients and workers saw. It shares no code with the router. */
+/** Checks the platform's rules against the observations of clients and workers. Shares no code with the router. */
 final class SoakInvariants {
-    /** A request is lost that has no answer so long after its budget. */
-    private static final long GRACE_MILLIS = 500;
-    /** A request that crosses the end of a resting connection within this is sent again by its client. */
-    private static final long CROSSING_MILLIS = 50;
-    /** An attempt may come to a worker so long after its client left. */
-    private static final long LEFT_SLACK_MILLIS = 100;
-    /** A worker may be told a limit that is so much longer than what the client has left. */
-    private static final long LIMIT_SLACK_MILLIS = 150;
-    /** Of so many requests one may have been written late by a router that was stopped. */
-    private static final int REQUESTS_FOR_ONE_OF_STOPPED = 500;
-    /** {@code StopSendingWithinNs} of the configuration, and the slack of all time limits. */
+    /** A request without an answer this long after its budget counts as lost. */
+    private static final long ANSWER_GRACE_MILLIS = 500;
+    /** A client resends a request that it sent this shortly before the router closed the idle connection. */
+    private static final long CLOSE_RACE_MILLIS = 50;
+    /** Maximum time after a client left at which one of its attempts may still reach a worker. */
+    private static final long CANCEL_TOLERANCE_MILLIS = 100;
+    /** Maximum excess of the time limit sent to a worker over the client's remaining budget. */
+    private static final long LIMIT_TOLERANCE_MILLIS = 150;
+    /** One in this many requests may be written late by a router that was paused with SIGSTOP. */
+    private static final int REQUESTS_PER_TOLERATED_VIOLATION = 500;
+    /** {@code StopSendingWithinNs} of the configuration, plus the tolerance of all time limits, 50 ms. */
     private static final long DRAIN_MILLIS = 1000 + 50;
 
     private final ToldClock clock;
     private final RouterEnds ends;
     private final MachineLateness lateness;
-    private final List<String> breaks = new ArrayList<>();
-    /** Breaks by routers that the soak had stopped between the last look at the client and the write, perhaps. */
-    private final List<String> breaksOfStopped = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
+    /** Violations by routers that may have been paused between their last check of the client and the write. */
+    private final List<String> violationsWhilePaused = new ArrayList<>();
 
     SoakInvariants(ToldClock clock, RouterEnds ends, MachineLateness lateness) {
         this.clock = clock;
@@ -39,13 +39,13 @@
     }
 
     static boolean isOverdue(SoakRequest request) {
-        return millis(request.sentAt, System.nanoTime()) > request.budgetMillis + GRACE_MILLIS;
+        return millis(request.sentAt, System.nanoTime()) > request.budgetMillis + ANSWER_GRACE_MILLIS;
     }
 
-    /** @return a line for each break of a rule */
+    /** @return a line for each violation */
     List<String> check(Collection<SoakRequest> requests, Collection<SoakRequest.Arrival> loadRequests) {
-        breaks.clear();
-        breaksOfStopped.clear();
+        violations.clear();
+        violationsWhilePaused.clear();
         for (SoakRequest request : requests) {
             checkAnswer(request);
             checkSuccess(request);
@@ -54,52 +54,54 @@
         for (SoakRequest.Arrival load : List.copyOf(loadRequests)) {
             checkDrain(load, "a load request");
         }
-        if (breaksOfStopped.size() * REQUESTS_FOR_ONE_OF_STOPPED > requests.size()) {
-            breaks.addAll(breaksOfStopped);
+        if (violationsWhilePaused.size() * REQUESTS_PER_TOLERATED_VIOLATION > requests.size()) {
+            violations.addAll(violationsWhilePaused);
         }
-        return List.copyOf(breaks);
+        return List.copyOf(violations);
     }
 
-    /** Breaks that are not counted, as a process can be stopped between its last look and the system call. */
-    int uncounted() {
-        return breaksOfStopped.size();
+    /** Returns the number of tolerated violations; a process can be paused between its check and the system call. */
+    int toleratedViolations() {
+        return violationsWhilePaused.size();
     }
 
     private void checkAnswer(SoakRequest request) {
         if (request.answers() > 1) {
-            addBreak(request, "has " + request.answers() + " answers");
+            addViolation(request, "has " + request.answers() + " answers");
         }
-        if (!ends.isOwed(request)) {
+        if (!ends.mustBeAnswered(request)) {
             return;
         }
-        if (request.answers() == 0 && request.leftAt() == 0 && !crossedTheEnd(request)) {
-            addBreak(
+        if (request.answers() == 0 && request.leftAt() == 0 && !wasSentDuringClose(request)) {
+            addViolation(
                     request,
                     request.connectionLostAt() == 0
                             ? "has no answer"
                             : "lost its connection after " + millis(request.sentAt, request.connectionLostAt())
                                     + " ms");
         }
-        long answeredAfter = millis(request.sentAt, request.answeredAt());
+        long answeredAfterMillis = millis(request.sentAt, request.answeredAt());
         if (request.answers() > 0
-                && answeredAfter
-                        > request.budgetMillis + GRACE_MILLIS + lateness.millis(request.sentAt, request.answeredAt())) {
-            addBreak(request, "was answered after " + answeredAfter + " ms");
+                && answeredAfterMillis
+                        > request.budgetMillis
+                                + ANSWER_GRACE_MILLIS
+                                + lateness.millis(request.sentAt, request.answeredAt())) {
+            addViolation(request, "was answered after " + answeredAfterMillis + " ms");
         }
     }
 
-    /** Whether the request crossed the end of its connection, at which its router had stopped. */
-    private boolean crossedTheEnd(SoakRequest request) {
+    /** Returns whether the request was sent while its router, stopped by SIGTERM, was closing the connection. */
+    private boolean wasSentDuringClose(SoakRequest request) {
         long lostAt = request.connectionLostAt();
         return lostAt != 0
                 && ends.isTerminated(request)
-                && millis(request.sentAt, lostAt) <= CROSSING_MILLIS + lateness.millis(request.sentAt, lostAt);
+                && millis(request.sentAt, lostAt) <= CLOSE_RACE_MILLIS + lateness.millis(request.sentAt, lostAt);
     }
 
     private void checkSuccess(SoakRequest request) {
         boolean executed = request.attempts().stream().anyMatch(SoakRequest.Attempt::executed);
         if (request.isSuccessful() && (!executed || !Arrays.equals(request.body, request.answerBody()))) {
-            addBreak(request, "was answered with what no worker gave");
+            addViolation(request, "succeeded without an execution by a worker, or with another body than was sent");
         }
     }
 
@@ -108,7 +110,7 @@
                 .filter(SoakRequest.Attempt::executed)
                 .count();
         if (executed > 1 && request.requestClass.runsOnceOnly) {
-            addBreak(request, "ran " + executed + " times");
+            addViolation(request, "ran " + executed + " times");
         }
         for (SoakRequest.Attempt attempt : request.attempts()) {
             checkAttempt(request, attempt);
@@ -118,23 +120,24 @@
 
     private void checkAttempt(SoakRequest request, SoakRequest.Attempt attempt) {
         long arrivedAt = attempt.arrival().arrivedAt();
-        long at = millis(request.sentAt, arrivedAt);
-        long late = lateness.millis(request.sentAt, arrivedAt);
-        boolean stopped = ends.stoodStill(request.router, request.sentAt, arrivedAt);
-        if (request.leftAt() != 0 && millis(request.leftAt(), arrivedAt) > LEFT_SLACK_MILLIS + late) {
-            addBreak(
-                    stopped ? breaksOfStopped : breaks,
+        long arrivedAfterMillis = millis(request.sentAt, arrivedAt);
+        long testDelayMillis = lateness.millis(request.sentAt, arrivedAt);
+        boolean paused = ends.wasPaused(request.router, request.sentAt, arrivedAt);
+        if (request.leftAt() != 0 && millis(request.leftAt(), arrivedAt) > CANCEL_TOLERANCE_MILLIS + testDelayMillis) {
+            addViolation(
+                    paused ? violationsWhilePaused : violations,
                     request,
-                    "came to a worker " + millis(request.leftAt(), arrivedAt) + " ms after its client had left");
+                    "reached a worker " + millis(request.leftAt(), arrivedAt) + " ms after its client had left");
         }
-        if (at + attempt.limitMillis() > request.budgetMillis + LIMIT_SLACK_MILLIS + late) {
-            addBreak(
-                    stopped ? breaksOfStopped : breaks,
+        if (arrivedAfterMillis + attempt.limitMillis()
+                > request.budgetMillis + LIMIT_TOLERANCE_MILLIS + testDelayMillis) {
+            addViolation(
+                    paused ? violationsWhilePaused : violations,
                     request,
-                    "told a limit of " + attempt.limitMillis() + " ms at " + at + " ms");
+                    "sent a limit of " + attempt.limitMillis() + " ms at " + arrivedAfterMillis + " ms");
         }
         if (!attempt.key().equals(ClientWire.key(request.id)) || !Arrays.equals(attempt.body(), request.body)) {
-            addBreak(request, "came to a worker changed");
+            addViolation(request, "reached a worker with another key or body than was sent");
         }
     }
 
@@ -142,26 +145,26 @@
         if (arrival.drainingSince() == 0) {
             return;
         }
-        long toldAt = clock.toldAt(arrival.drainingSince());
-        long late = lateness.millis(toldAt, arrival.arrivedAt());
-        if (millis(toldAt, arrival.arrivedAt()) > DRAIN_MILLIS + late) {
-            breaks.add(what + " came to " + arrival.worker() + ", which drains since "
-                    + millis(arrival.drainingSince(), arrival.arrivedAt()) + " ms, told since "
-                    + millis(toldAt, arrival.arrivedAt()) + " ms");
+        long effectiveAt = clock.effectiveAt(arrival.drainingSince());
+        long testDelayMillis = lateness.millis(effectiveAt, arrival.arrivedAt());
+        if (millis(effectiveAt, arrival.arrivedAt()) > DRAIN_MILLIS + testDelayMillis) {
+            violations.add(what + " reached " + arrival.worker() + ", draining for "
+                    + millis(arrival.drainingSince(), arrival.arrivedAt()) + " ms, known to routers for "
+                    + millis(effectiveAt, arrival.arrivedAt()) + " ms");
         }
     }
 
-    private void addBreak(SoakRequest request, String what) {
-        addBreak(breaks, request, what);
+    private void addViolation(SoakRequest request, String what) {
+        addViolation(violations, request, what);
     }
 
-    private static void addBreak(List<String> list, SoakRequest request, String what) {
-        list.add(request.router + " process " + request.routerIncarnation + " request " + request.id + " ("
+    private static void addViolation(List<String> target, SoakRequest request, String what) {
+        target.add(request.router + " process " + request.routerIncarnation + " request " + request.id + " ("
                 + request.requestClass + ", budget " + request.budgetMillis + ", "
                 + request.attempts().size() + " attempts) " + what);
     }
 
-    /** When the processes of routers were killed, told to stop, or stood still. */
+    /** Records when router processes were killed, stopped by SIGTERM, or paused by SIGSTOP. */
     static final class RouterEnds {
         private record End(String router, int incarnation, boolean killed) {}
 
@@ -170,12 +173,12 @@
         private final List<End> ends = new ArrayList<>();
         private final List<Pause> pauses = new ArrayList<>();
 
-        synchronized void onStoodStill(String router, long fromNanos, long untilNanos) {
+        synchronized void onPaused(String router, long fromNanos, long untilNanos) {
             pauses.add(new Pause(router, fromNanos, untilNanos));
         }
 
-        /** Whether the router stood still at some time between two moments. */
-        synchronized boolean stoodStill(String router, long fromNanos, long untilNanos) {
+        /** Returns whether the router was paused at any time between two times. */
+        synchronized boolean wasPaused(String router, long fromNanos, long untilNanos) {
             return pauses.stream()
                     .anyMatch(
                             pause -> pause.router.equals(router) && pause.from < untilNanos && pause.until > fromNanos);
@@ -196,12 +199,12 @@
                             && end.killed == killed);
         }
 
-        /** Whether the router owed the request an answer: it was not killed with it. */
-        boolean isOwed(SoakRequest request) {
+        /** Returns whether the router must answer the request, as its process was not killed. */
+        boolean mustBeAnswered(SoakRequest request) {
             return !hasEnded(request, true);
         }
 
-        /** Whether the router was told to stop. */
+        /** Returns whether the router process of the request received SIGTERM. */
         boolean isTerminated(SoakRequest request) {
             return hasEnded(request, false);
         }
--- a/cli/src/test/java/pearladder/cli/soak/SoakInvariantsTest.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakInvariantsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each rule of the judge, kept by one scripted router and broken by another. */
+/** Checks each rule of {@link SoakInvariants} against scripted requests that keep and violate it. */
 class SoakInvariantsTest {
     private static final String ROUTER = "router-0";
     private static final long BUDGET_MILLIS = 400;
@@ -31,7 +31,7 @@
         return new SoakRequest("1", requestClass, BUDGET_MILLIS, BODY, ROUTER, 1, () -> now);
     }
 
-    private void pass(long millis) {
+    private void advanceClock(long millis) {
         now += TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
@@ -48,27 +48,27 @@
         attempt(0, BUDGET_MILLIS, true);
     }
 
-    private List<String> breaks() {
+    private List<String> violations() {
         return invariants.check(List.of(request), List.of());
     }
 
-    private void assertBroken(String text) {
-        List<String> breaks = breaks();
-        assertEquals(1, breaks.size(), breaks::toString);
-        assertTrue(breaks.get(0).contains(text), breaks::toString);
+    private void assertViolation(String text) {
+        List<String> violations = violations();
+        assertEquals(1, violations.size(), violations::toString);
+        assertTrue(violations.get(0).contains(text), violations::toString);
     }
 
     @Test
-    void successInTimeBreaksNothing() {
+    void successInTimeIsNoViolation() {
         attempt();
-        pass(BUDGET_MILLIS);
+        advanceClock(BUDGET_MILLIS);
         request.onAnswer(true, BODY);
-        assertEquals(List.of(), breaks());
+        assertEquals(List.of(), violations());
     }
 
     @Test
     void missingAnswer() {
-        assertBroken("has no answer");
+        assertViolation("has no answer");
     }
 
     @Test
@@ -76,28 +76,28 @@
         attempt();
         request.onAnswer(true, BODY);
         request.onAnswer(true, BODY);
-        assertBroken("has 2 answers");
+        assertViolation("has 2 answers");
     }
 
     @Test
     void lateAnswer() {
         attempt();
-        pass(BUDGET_MILLIS + 520);
+        advanceClock(BUDGET_MILLIS + 520);
         request.onAnswer(false, null);
-        assertBroken("was answered after 920 ms");
+        assertViolation("was answered after 920 ms");
     }
 
     @Test
     void successWithoutExecution() {
         request.onAnswer(true, BODY);
-        assertBroken("was answered with what no worker gave");
+        assertViolation("succeeded without an execution by a worker, or with another body than was sent");
     }
 
     @Test
     void successWithAnotherBody() {
         attempt();
         request.onAnswer(true, OTHER_BODY);
-        assertBroken("was answered with what no worker gave");
+        assertViolation("succeeded without an execution by a worker, or with another body than was sent");
     }
 
     @Test
@@ -105,7 +105,7 @@
         attempt();
         attempt();
         request.onAnswer(true, BODY);
-        assertBroken("ran 2 times");
+        assertViolation("ran 2 times");
     }
 
     @Test
@@ -114,40 +114,40 @@
         attempt();
         attempt();
         request.onAnswer(true, BODY);
-        assertEquals(List.of(), breaks());
+        assertEquals(List.of(), violations());
     }
 
     @Test
     void attemptAfterItsClientLeft() {
         request.onLeft();
-        pass(130);
+        advanceClock(130);
         attempt(0, 100, true);
-        assertBroken("came to a worker 130 ms after its client had left");
+        assertViolation("reached a worker 130 ms after its client had left");
     }
 
     @Test
-    void fewAttemptsOfARouterThatStoodStillAreNotCounted() {
-        ends.onStoodStill(ROUTER, now, now + TimeUnit.MILLISECONDS.toNanos(100));
+    void fewLateAttemptsOfAPausedRouterAreTolerated() {
+        ends.onPaused(ROUTER, now, now + TimeUnit.MILLISECONDS.toNanos(100));
         request.onLeft();
-        pass(130);
+        advanceClock(130);
         attempt(0, 100, true);
-        assertBroken("came to a worker 130 ms after its client had left");
-        List<SoakRequest> many = new ArrayList<>(List.of(request));
+        assertViolation("reached a worker 130 ms after its client had left");
+        List<SoakRequest> requests = new ArrayList<>(List.of(request));
         for (int i = 0; i < 500; i++) {
             SoakRequest other = newRequest(SoakRequest.RequestClass.DRAFT);
             other.onAnswer(false, null);
-            many.add(other);
+            requests.add(other);
         }
-        assertEquals(List.of(), invariants.check(many, List.of()), "one in five hundred");
-        assertEquals(1, invariants.uncounted());
+        assertEquals(List.of(), invariants.check(requests, List.of()), "one late attempt in 501 requests");
+        assertEquals(1, invariants.toleratedViolations());
     }
 
     @Test
     void limitBeyondTheBudget() {
-        pass(300);
+        advanceClock(300);
         attempt();
         request.onAnswer(true, BODY);
-        assertBroken("told a limit of 400 ms at 300 ms");
+        assertViolation("sent a limit of 400 ms at 300 ms");
     }
 
     @Test
@@ -155,78 +155,78 @@
         request.onAttempt(new SoakRequest.Attempt(
                 new SoakRequest.Arrival("worker-0", now, 0), BUDGET_MILLIS, "another key", BODY, true));
         request.onAnswer(true, BODY);
-        assertBroken("came to a worker changed");
+        assertViolation("reached a worker with another key or body than was sent");
     }
 
     @Test
-    void connectionThatEndsWithTheRequestOnIt() {
-        pass(10);
+    void connectionLostWithAnOpenRequest() {
+        advanceClock(10);
         request.onConnectionLost();
-        assertBroken("lost its connection after 10 ms");
+        assertViolation("lost its connection after 10 ms");
     }
 
     @Test
-    void requestThatCrossesTheEndOfAStoppedRouterIsSentAgain() {
+    void requestSentWhileAStoppedRouterClosesIsNoViolation() {
         ends.onTerminated(ROUTER, 1);
-        pass(40);
+        advanceClock(40);
         request.onConnectionLost();
-        assertEquals(List.of(), breaks());
+        assertEquals(List.of(), violations());
     }
 
     @Test
-    void requestThatAStoppedRouterHadForLonger() {
+    void openRequestLostByAStoppedRouter() {
         ends.onTerminated(ROUTER, 1);
-        pass(70);
+        advanceClock(70);
         request.onConnectionLost();
-        assertBroken("lost its connection after 70 ms");
+        assertViolation("lost its connection after 70 ms");
     }
 
     @Test
-    void killedRouterOwesNothing() {
+    void killedRouterNeedNotAnswer() {
         ends.onKilled(ROUTER, 1);
-        assertEquals(List.of(), breaks());
+        assertEquals(List.of(), violations());
     }
 
     @Test
     void attemptToADrainingWorker() {
         long drainingSince = now;
-        pass(1100);
+        advanceClock(1100);
         request = newRequest(SoakRequest.RequestClass.DRAFT);
         attempt(drainingSince, BUDGET_MILLIS, false);
         request.onAnswer(false, null);
-        assertBroken("came to worker-0, which drains since 1100 ms");
+        assertViolation("reached worker-0, draining for 1100 ms");
     }
 
     @Test
     void attemptWithinTheGrace() {
         long drainingSince = now;
-        pass(1000);
+        advanceClock(1000);
         request = newRequest(SoakRequest.RequestClass.DRAFT);
         attempt(drainingSince, BUDGET_MILLIS, false);
         request.onAnswer(false, null);
-        assertEquals(List.of(), breaks());
+        assertEquals(List.of(), violations());
     }
 
     @Test
     void loadRequestToADrainingWorkerInAnOutage() {
         long outageAt = now;
         clock.onOutage(outageAt, outageAt + TimeUnit.SECONDS.toNanos(20));
-        pass(100);
+        advanceClock(100);
         long drainingSince = now;
-        pass(7900);
+        advanceClock(7900);
         SoakRequest.Arrival allowed = new SoakRequest.Arrival("worker-0", now, drainingSince);
-        assertEquals(List.of(), invariants.check(List.of(), List.of(allowed)), "seven seconds and the grace");
-        pass(100);
+        assertEquals(List.of(), invariants.check(List.of(), List.of(allowed)), "within 7 s and the drain time");
+        advanceClock(100);
         SoakRequest.Arrival late = new SoakRequest.Arrival("worker-0", now, drainingSince);
         assertEquals(1, invariants.check(List.of(), List.of(late)).size());
     }
 
     @Test
-    void drainInTheMiddleOfAnOutageCountsAsToldAtOnce() {
+    void drainDuringAnOutageTakesEffectAtOnce() {
         clock.onOutage(now, now + TimeUnit.SECONDS.toNanos(20));
-        pass(10_000);
+        advanceClock(10_000);
         long drainingSince = now;
-        pass(1100);
+        advanceClock(1100);
         SoakRequest.Arrival late = new SoakRequest.Arrival("worker-0", now, drainingSince);
         assertEquals(1, invariants.check(List.of(), List.of(late)).size());
     }
--- a/cli/src/test/java/pearladder/cli/soak/SoakRequest.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakRequest.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** One request of an ordinary client, with what its client and the workers saw of it. Times are {@code nanoTime}. */
+/** A request of a well-behaved client and what its client and the workers observed. Times are {@code nanoTime}. */
 final class SoakRequest {
-    /** A request class of the settings, by what a repeat would do. */
+    /** The request classes of the settings, by the effect of a repeated execution. */
     enum RequestClass {
         DRAFT("draft", false),
         COMMIT("commit", false),
@@ -21,17 +21,17 @@
         }
     }
 
-    /** New work that came to a worker; {@code drainingSince} is zero where the worker was in service then. */
+    /** The arrival of an attempt or load request; {@code drainingSince} is zero if the worker was in service. */
     record Arrival(String worker, long arrivedAt, long drainingSince) {}
 
-    /** An attempt as it came to a worker. */
+    /** An attempt as received by a worker. */
     record Attempt(Arrival arrival, long limitMillis, String key, byte[] body, boolean executed) {}
 
     final String id;
     final RequestClass requestClass;
     final long budgetMillis;
     final byte[] body;
-    /** The router that it was sent to. */
+    /** The router that received the request. */
     final String router;
 
     final int routerIncarnation;
@@ -45,7 +45,7 @@
     private long leftAt;
     private long connectionLostAt;
 
-    /** @param incarnation of the router when the connection was opened that the request is sent on */
+    /** @param incarnation incarnation of the router when the connection of the request was opened */
     SoakRequest(String id, RequestClass requestClass, long budgetMillis, byte[] body, String router, int incarnation) {
         this(id, requestClass, budgetMillis, body, router, incarnation, System::nanoTime);
     }
@@ -80,7 +80,7 @@
         answeredAt = clock.getAsLong();
     }
 
-    /** The client has sent an interrupt, or closed its connection. */
+    /** Records that the client sent an interrupt or closed its connection. */
     synchronized void onLeft() {
         leftAt = leftAt == 0 ? clock.getAsLong() : leftAt;
     }
@@ -109,17 +109,17 @@
         return answerBody;
     }
 
-    /** Zero where there is none. */
+    /** Returns the time of the last answer; zero if there is none. */
     synchronized long answeredAt() {
         return answeredAt;
     }
 
-    /** Zero where the client stayed. */
+    /** Returns when the client left; zero if it did not. */
     synchronized long leftAt() {
         return leftAt;
     }
 
-    /** Zero where the connection stayed. */
+    /** Returns when the connection was lost; zero if it was not. */
     synchronized long connectionLostAt() {
         return connectionLostAt;
     }
--- a/cli/src/test/java/pearladder/cli/soak/SoakRouter.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakRouter.java
@@ -11,18 +11,18 @@
 import org.msgpack.core.MessageUnpacker;
 import pearladder.cli.DeployedRouter;
 
-/** One router: its configuration, its process, and the signals sent to it. */
+/** Runs a router process: writes its configuration, starts and stops it, and sends it signals. */
 final class SoakRouter {
-    private static final long SECOND_TERM_MILLIS = 80;
+    private static final long SECOND_SIGTERM_DELAY_MILLIS = 80;
     private static final long READY_POLL_MILLIS = 50;
-    private static final long RELOADED_AFTER_READY_MILLIS = 1000;
+    private static final long RELOADABLE_AFTER_READY_MILLIS = 1000;
     /** The platform gives a router half a core. */
-    private static final int ROUTERS_ON_A_CORE = 2;
+    private static final int ROUTERS_PER_CORE = 2;
     /** {@code sockets} of the configuration. */
     private static final int DESCRIPTORS = 512;
 
     private static final long READY_TIMEOUT_SECONDS = 60;
-    private static final long CONNECTIONS_AFTER_TERM_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long ACCEPTS_AFTER_SIGTERM_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     final String name;
     final int port;
@@ -41,7 +41,7 @@
     /** @param number two routers of successive numbers share a core */
     SoakRouter(String name, int number, Path folder, RouterStarts starts, MachineLateness lateness) throws IOException {
         this.name = name;
-        this.core = number / ROUTERS_ON_A_CORE % Runtime.getRuntime().availableProcessors();
+        this.core = number / ROUTERS_PER_CORE % Runtime.getRuntime().availableProcessors();
         this.starts = starts;
         this.lateness = lateness;
         this.folder = Files.createDirectories(folder);
@@ -54,17 +54,17 @@
         return incarnation;
     }
 
-    /** It is about to be stopped or killed: nothing else is done to it until it was started again. */
+    /** Marks the router as being stopped or killed; it gets no other faults until it is started again. */
     void onStopBegins() {
         stopping = true;
     }
 
-    /** It was started again and is in service. */
+    /** Marks the router as started again and in service. */
     void onStopEnded() {
         stopping = false;
     }
 
-    /** Whether its process runs and is not being stopped. */
+    /** Returns whether the process runs and is not being stopped. */
     boolean isInService() {
         return isAlive() && !stopping;
     }
@@ -74,10 +74,10 @@
         return current != null && current.isAlive();
     }
 
-    /** Whether clients may open connections to it: they do so until some time after SIGTERM. */
+    /** Returns whether clients may open connections to the router: until 300 ms after SIGTERM. */
     boolean isOpenForConnections() {
-        long told = terminatedAt;
-        return isAlive() && (told == 0 || System.nanoTime() - told < CONNECTIONS_AFTER_TERM_NANOS);
+        long signalledAt = terminatedAt;
+        return isAlive() && (signalledAt == 0 || System.nanoTime() - signalledAt < ACCEPTS_AFTER_SIGTERM_NANOS);
     }
 
     void start(String configuration) throws IOException {
@@ -112,11 +112,11 @@
             long now = System.nanoTime();
             starts.onReady(name, TimeUnit.NANOSECONDS.toMillis(now - startedAt), lateness.millis(startedAt, now));
         }
-        Thread.sleep(RELOADED_AFTER_READY_MILLIS);
+        Thread.sleep(RELOADABLE_AFTER_READY_MILLIS);
         reloadableIncarnation = started;
     }
 
-    /** Whether SIGHUP may be sent: never before the router is ready, nor within its first second. */
+    /** Returns whether SIGHUP may be sent: only from one second after the router became ready. */
     boolean isReloadable() {
         return isInService() && reloadableIncarnation == incarnation;
     }
@@ -125,7 +125,7 @@
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
         while (!isReady()) {
             if (System.nanoTime() > deadline || !process.isAlive()) {
-                throw new IllegalStateException(name + " does not get ready\n" + log());
+                throw new IllegalStateException(name + " did not become ready\n" + log());
             }
             Thread.sleep(20);
         }
@@ -148,8 +148,8 @@
         }
     }
 
-    /** Stops the process for a moment. */
-    void standStill(long millis) throws IOException, InterruptedException {
+    /** Pauses the process with SIGSTOP for the given time. */
+    void pause(long millis) throws IOException, InterruptedException {
         signal("STOP");
         Thread.sleep(millis);
         signal("CONT");
@@ -161,25 +161,25 @@
                 .waitFor();
     }
 
-    /** Writes a new configuration and has the router read it. */
+    /** Writes a new configuration and sends SIGHUP. */
     void reload(String configuration) throws IOException, InterruptedException {
         Files.writeString(folder.resolve("config.json"), configuration);
         signal("HUP");
     }
 
     /**
-     * Stops the router in order; returns its exit status, or null where it did not end within the time.
+     * Sends SIGTERM; returns the exit status, or null where the process did not end before the kill deadline.
      *
-     * @param again whether the signal is sent twice
+     * @param signalTwice whether the signal is sent twice
      */
-    Integer terminate(long killAfterMillis, boolean again) throws IOException, InterruptedException {
+    Integer terminate(long killAfterMillis, boolean signalTwice) throws IOException, InterruptedException {
         long waitMillis = killAfterMillis;
         terminatedAt = System.nanoTime();
         signal("TERM");
-        if (again) {
-            Thread.sleep(SECOND_TERM_MILLIS);
+        if (signalTwice) {
+            Thread.sleep(SECOND_SIGTERM_DELAY_MILLIS);
             signal("TERM");
-            waitMillis -= SECOND_TERM_MILLIS;
+            waitMillis -= SECOND_SIGTERM_DELAY_MILLIS;
         }
         return process.waitFor(waitMillis, TimeUnit.MILLISECONDS) ? process.exitValue() : null;
     }
--- a/cli/src/test/java/pearladder/cli/soak/SoakSettings.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakSettings.java
@@ -3,24 +3,24 @@
 import java.util.Arrays;
 import java.util.Random;
 
-/** What a seed draws for a run: the deadlines of the request classes, and what follows from them. */
+/** The settings of a run drawn from its seed: the fleet size and the deadlines of the request classes. */
 final class SoakSettings {
     private static final long[] DEADLINES_MILLIS = {150, 250, 500, 1000, 2000, 3000, 5000};
-    /** By the platform's page a longer deadline counts as this before the kill that follows SIGTERM. */
-    private static final long LONGEST_COUNTED_MILLIS = 3000;
-    /** The kill comes so long after the longest deadline. */
+    /** The platform counts longer deadlines as this when it computes the delay between SIGTERM and the kill. */
+    private static final long MAX_COUNTED_DEADLINE_MILLIS = 3000;
+    /** Time between the longest deadline and the kill. */
     private static final long KILL_MARGIN_MILLIS = 700;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** Sizes of fleets, by the seed in turn; the pages' largest comes second. */
-    private static final int[] WORKERS = {60, 8, 3200, 200, 8, 800, 20, 1600};
+    /** Fleet sizes, selected by seed modulo length; the largest size that the platform documents is for seed 2. */
+    private static final int[] FLEET_SIZES = {60, 8, 3200, 200, 8, 800, 20, 1600};
 
     private final long[] deadlinesMillis;
     /** The number of workers. */
     final int workers;
 
     SoakSettings(long seed, Random random) {
-        workers = Integer.getInteger("soak.workers", WORKERS[(int) (seed % WORKERS.length)]);
+        workers = Integer.getInteger("soak.workers", FLEET_SIZES[(int) (seed % FLEET_SIZES.length)]);
         deadlinesMillis = random.ints(SoakRequest.RequestClass.values().length, 0, DEADLINES_MILLIS.length)
                 .mapToLong(index -> DEADLINES_MILLIS[index])
                 .toArray();
@@ -34,13 +34,13 @@
         return Arrays.stream(deadlinesMillis).min().orElseThrow();
     }
 
-    /** When the kill comes at the earliest, after SIGTERM. */
+    /** Returns the minimum time between SIGTERM and the kill. */
     long killAfterMillis() {
         long longest = Arrays.stream(deadlinesMillis).max().orElseThrow();
-        return Math.min(longest, LONGEST_COUNTED_MILLIS) + KILL_MARGIN_MILLIS;
+        return Math.min(longest, MAX_COUNTED_DEADLINE_MILLIS) + KILL_MARGIN_MILLIS;
     }
 
-    /** The classes of requests as a router's settings hold them. */
+    /** Returns the request classes in the form of {@code Services} in the configuration. */
     String services() {
         return service(SoakRequest.RequestClass.DRAFT, "free", 5000) + ", "
                 + service(SoakRequest.RequestClass.COMMIT, "guarded", 8000) + ", "
--- a/cli/src/test/java/pearladder/cli/soak/SoakWorker.java
+++ b/cli/src/test/java/pearladder/cli/soak/SoakWorker.java
@@ -15,28 +15,28 @@
 import java.util.concurrent.TimeUnit;
 import pearladder.cli.WorkerWire;
 
-/** A worker that answers, refuses, stays silent, answers garbage or resets connections, at random. */
+/** A worker that at random answers, rejects or fails requests, stays silent, sends garbage or resets connections. */
 final class SoakWorker {
     private static final long MAX_LATENCY_MILLIS = 120;
-    /** Of the shortest deadline: the longest latency. */
+    /** The maximum latency is at most the shortest deadline divided by this. */
     private static final long MAX_LATENCY_DIVISOR = 3;
-    /** Percentages, each of all requests; the rest succeeds. */
-    private static final int FULL = 5;
+    /** Percentages of all requests, by outcome; the rest succeed. */
+    private static final int FULL_PERCENT = 5;
 
-    private static final int FAILED = 4;
-    private static final int SILENT = 4;
-    private static final int GARBAGE = 2;
-    private static final int RESET = 3;
+    private static final int FAILED_PERCENT = 4;
+    private static final int SILENT_PERCENT = 4;
+    private static final int GARBAGE_PERCENT = 2;
+    private static final int RESET_PERCENT = 3;
 
-    private static final ScheduledExecutorService LATER = Executors.newScheduledThreadPool(2, task -> {
+    private static final ScheduledExecutorService RESPONSE_SCHEDULER = Executors.newScheduledThreadPool(2, task -> {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         return thread;
     });
 
-    /** The id by which discovery names it; another one after it was replaced at its address. */
+    /** Worker id in discovery events; may change when the worker is replaced at its address. */
     volatile String name;
-    /** Since when it drains; zero while it is in service. */
+    /** Start of the drain; zero while the worker is in service. */
     volatile long drainingSince;
 
     private volatile long startedAtUnixMillis;
@@ -52,8 +52,8 @@
     /**
      * @param requests all requests of clients, by id
      * @param unknownIds receives the ids of attempts for which no client sent a request
-     * @param loadRequests receives the load requests that came, those that only ask left out
-     * @param acceptor opens the worker's address
+     * @param loadRequests receives the load requests, without queries ({@code replicas=0})
+     * @param acceptor accepts the worker's connections
      */
     SoakWorker(
             String name,
@@ -84,12 +84,12 @@
                 + startedAtUnixMillis + "}";
     }
 
-    /** It begins to drain: what is new is refused from here on. */
+    /** Starts the drain: new requests and load requests are rejected from now on. */
     void drain() {
         drainingSince = System.nanoTime();
     }
 
-    /** Its process ends and another one listens at its address, under another id or its own. */
+    /** Replaces the worker by a new process at the same address, with the given id, and closes all connections. */
     void restart(String newName) {
         name = newName;
         startedAtUnixMillis = System.currentTimeMillis();
@@ -136,10 +136,11 @@
         if (!fields.endsWith("replicas=0")) {
             loadRequests.add(arrival());
         }
-        boolean drains = drainingSince != 0;
+        boolean draining = drainingSince != 0;
         write(
                 socket,
-                WorkerWire.response(id, drains ? "AGAIN" : "ACK", drains ? "replicas=0" : "replicas=1", new byte[0]));
+                WorkerWire.response(
+                        id, draining ? "AGAIN" : "ACK", draining ? "replicas=0" : "replicas=1", new byte[0]));
     }
 
     private void onRequest(Socket socket, String id, Map<String, String> fields, byte[] body) throws IOException {
@@ -151,38 +152,39 @@
             }
             return;
         }
-        int fate;
+        int outcome;
         int latency;
         synchronized (random) {
-            fate = random.nextInt(100);
+            outcome = random.nextInt(100);
             latency = 1 + random.nextInt(maxLatencyMillis);
         }
-        boolean executed = fate >= FULL && arrival.drainingSince() == 0;
+        boolean executed = outcome >= FULL_PERCENT && arrival.drainingSince() == 0;
         request.onAttempt(new SoakRequest.Attempt(
                 arrival, Long.parseLong(fields.get("limit")), fields.getOrDefault("nonce", ""), body, executed));
         if (!executed) {
             write(socket, WorkerWire.response(id, "AGAIN", "-", new byte[0]));
             return;
         }
-        LATER.schedule(() -> answerQuietly(socket, id, body, fate - FULL), latency, TimeUnit.MILLISECONDS);
+        RESPONSE_SCHEDULER.schedule(
+                () -> answerQuietly(socket, id, body, outcome - FULL_PERCENT), latency, TimeUnit.MILLISECONDS);
     }
 
-    private void answerQuietly(Socket socket, String id, byte[] body, int fate) {
+    private void answerQuietly(Socket socket, String id, byte[] body, int outcome) {
         try {
-            answer(socket, id, body, fate);
+            answer(socket, id, body, outcome);
         } catch (IOException closed) {
             // the router has closed the connection
         }
     }
 
-    private void answer(Socket socket, String id, byte[] body, int fate) throws IOException {
-        if (fate < FAILED) {
+    private void answer(Socket socket, String id, byte[] body, int outcome) throws IOException {
+        if (outcome < FAILED_PERCENT) {
             write(socket, WorkerWire.response(id, "EIO", "-", new byte[0]));
-        } else if (fate < FAILED + SILENT) {
+        } else if (outcome < FAILED_PERCENT + SILENT_PERCENT) {
             return;
-        } else if (fate < FAILED + SILENT + GARBAGE) {
+        } else if (outcome < FAILED_PERCENT + SILENT_PERCENT + GARBAGE_PERCENT) {
             write(socket, "*9\r\n?".getBytes(StandardCharsets.ISO_8859_1));
-        } else if (fate < FAILED + SILENT + GARBAGE + RESET) {
+        } else if (outcome < FAILED_PERCENT + SILENT_PERCENT + GARBAGE_PERCENT + RESET_PERCENT) {
             socket.setSoLinger(true, 0);
             socket.close();
         } else {
--- a/cli/src/test/java/pearladder/cli/soak/ToldClock.java
+++ b/cli/src/test/java/pearladder/cli/soak/ToldClock.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** When an event of discovery counts as told: at once, or where discovery is out of reach, by the platform's clock. */
+/** Returns the time from which routers must act on a discovery event, allowing for outages of discovery. */
 final class ToldClock {
-    /** What discovery would have told counts as told so long after an outage began, at the latest. */
-    private static final long TOLD_AFTER_NANOS = TimeUnit.SECONDS.toNanos(7);
-    /** A poll that is held looks for events this often; what came just before an outage may not leave any more. */
-    private static final long HELD_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    /** Maximum time from the start of an outage until routers must act on events that the outage held back. */
+    private static final long MAX_DELIVERY_DELAY_NANOS = TimeUnit.SECONDS.toNanos(7);
+    /** Events published this shortly before an outage may not be delivered: a held poll checks at this interval. */
+    private static final long HELD_POLL_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private record Outage(long from, long until) {}
 
@@ -19,11 +19,11 @@
         outages.add(new Outage(fromNanos, untilNanos));
     }
 
-    /** The {@code nanoTime} from which an event of this time counts as told. */
-    synchronized long toldAt(long eventNanos) {
+    /** Returns the {@code nanoTime} from which routers must act on an event that was published at the given time. */
+    synchronized long effectiveAt(long eventNanos) {
         for (Outage outage : outages) {
-            if (eventNanos > outage.from - HELD_POLL_NANOS && eventNanos < outage.until) {
-                return Math.max(eventNanos, Math.min(outage.from + TOLD_AFTER_NANOS, outage.until));
+            if (eventNanos > outage.from - HELD_POLL_CHECK_INTERVAL_NANOS && eventNanos < outage.until) {
+                return Math.max(eventNanos, Math.min(outage.from + MAX_DELIVERY_DELAY_NANOS, outage.until));
             }
         }
         return eventNanos;
