--- a/cli/src/test/java/pearladder/cli/CiScriptTest.java
+++ b/cli/src/test/java/pearladder/cli/CiScriptTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the CI script makes of KNOWN-RED.txt, with a build tool that only notes how it is called. */
+/** Tests how the CI script handles KNOWN-RED.txt, with a fake build tool that records its calls. */
 class CiScriptTest {
     private static final String VALID_ENTRY = "SlowTest#waits | mvn test -Dsoak.seed=7 | an answer after 3 s | 40\n";
-    /** It finds no test of the class Missing, fails the test SlowTest alone, and fails all where it is told to. */
+    /** Finds no test of class Missing, fails SlowTest run alone, and exits with VERIFY_STATUS from verify. */
     private static final String BUILD_TOOL =
             """
             #!/bin/sh
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void eachOfSeveralEntriesIsPassedOverAndPrinted() throws Exception {
+    void eachOfSeveralEntriesIsExcludedAndPrinted() throws Exception {
         Run run = run(VALID_ENTRY + VALID_ENTRY.replace("SlowTest#waits", "QuickTest#ends"), "0");
         assertEquals(0, run.status(), run.output());
         assertTrue(run.calls().get(0).startsWith("-B verify -Dtest=!SlowTest#waits,!QuickTest#ends "));
--- a/cli/src/test/java/pearladder/cli/CommandProcessTest.java
+++ b/cli/src/test/java/pearladder/cli/CommandProcessTest.java
@@ -26,7 +26,7 @@
 
 /**
  * Commands run as processes: a scenario with injected faults, a router with a bad file or a full disk, the adapter.
- * The scenario's slack is wide, so that a slow machine gives the same verdict.
+ * The scenario's time tolerance is large, so that the result is the same on a slow machine.
  */
 class CommandProcessTest {
     private static final String SCENARIO =
--- a/cli/src/test/java/pearladder/cli/DeployedRouter.java
+++ b/cli/src/test/java/pearladder/cli/DeployedRouter.java
@@ -7,8 +7,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Starts a router as the operators do: by {@code run} of the deploy file, from the repository's root. Only the jar is
- * replaced, by the classes under test.
+ * Starts a router as operators do: with the {@code run} command of the deploy file, from the repository's root. Only
+ * the jar is replaced, by the classes under test.
  */
 public final class DeployedRouter {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
@@ -18,9 +18,9 @@
     private DeployedRouter() {}
 
     /**
-     * The command for one router; its output is not redirected yet.
+     * Returns the command for one router, without redirection of its output.
      *
-     * @param before shell commands that run before the shell becomes the program
+     * @param before shell commands to run before the shell executes the program
      */
     public static ProcessBuilder command(Path configuration, String before) throws IOException {
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", before + runOnTestClasses());
@@ -36,7 +36,7 @@
     private static String runOnTestClasses() throws IOException {
         Matcher run = RUN.matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
         if (!run.find() || !run.group(1).contains(JAR)) {
-            throw new IOException("deploy/balancer.toml has no run with " + JAR);
+            throw new IOException("deploy/balancer.toml has no run command with " + JAR);
         }
         return run.group(1).replace(JAR, "-cp \"$TEST_CLASS_PATH\" pearladder.cli.Main");
     }
--- a/cli/src/test/java/pearladder/cli/DrainableWorker.java
+++ b/cli/src/test/java/pearladder/cli/DrainableWorker.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A fake worker that can drain: it then refuses new requests and loads as full though it reports capacity, and says
- * that it is ailing when it is asked how it is. It records when new work came.
+ * A fake worker that can drain: it then rejects new requests and load requests as full although it reports capacity,
+ * and answers health checks with {@code AILING}. It records the arrival times of attempts and load requests.
  */
 final class DrainableWorker implements AutoCloseable {
     private record NewWork(String kind, String id, long arrivedAt) {}
@@ -37,7 +37,7 @@
         draining = true;
     }
 
-    /** The attempts and load requests that came after a moment; a {@code nanoTime}. */
+    /** Returns the attempts and load requests that arrived after a time, a {@code nanoTime}. */
     List<String> newWorkSince(long nanos) {
         return newWork.stream()
                 .filter(work -> work.arrivedAt() > nanos)
@@ -45,7 +45,7 @@
                 .toList();
     }
 
-    /** When the first attempt of a request came; empty where none did. */
+    /** Returns when the first attempt of a request arrived; empty if none did. */
     OptionalLong arrivalOf(String requestId) {
         return newWork.stream()
                 .filter(work -> work.id().equals(requestId))
@@ -75,11 +75,11 @@
                 answer(socket, id, draining ? "AGAIN" : "ACK", "tell=up,meter=backlog:0;x1:0", words.get(3));
             }
             case "stage" -> {
-                boolean asksOnly = words.get(2).endsWith("replicas=0");
-                if (!asksOnly) {
+                boolean isQuery = words.get(2).endsWith("replicas=0");
+                if (!isQuery) {
                     newWork.add(new NewWork("load request", id, System.nanoTime()));
                 }
-                answer(socket, id, draining && !asksOnly ? "AGAIN" : "ACK", "replicas=" + (draining ? 0 : 1), "");
+                answer(socket, id, draining && !isQuery ? "AGAIN" : "ACK", "replicas=" + (draining ? 0 : 1), "");
             }
             case "ping" -> answer(socket, id, draining ? "AILING" : "READY", "meter=backlog:0;x1:0", "");
             default -> {
--- a/cli/src/test/java/pearladder/cli/LargeFleetConfiguration.java
+++ b/cli/src/test/java/pearladder/cli/LargeFleetConfiguration.java
@@ -12,15 +12,15 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Configurations of routers with many workers, in the forms that a JSON writer may give them. */
+/** Writes router configurations with many workers in several JSON layouts. */
 final class LargeFleetConfiguration {
-    /** The order of the keys of an object, and the white space between them. */
+    /** The order of the keys of an object and the white space between them. */
     enum Form {
-        /** Keys as in the deployment page's example, on one line. */
+        /** Keys as in the example of the deployment documentation, on one line. */
         PAGE_ORDER,
         /** Keys sorted, on one line: all workers come before the limits. */
         SORTED,
-        /** Keys sorted, a line for each value. */
+        /** Keys sorted, one value a line. */
         INDENTED
     }
 
@@ -29,10 +29,10 @@
     private LargeFleetConfiguration() {}
 
     /**
-     * Writes a configuration.
+     * Replaces the list of workers in a configuration file.
      *
-     * @param file overwritten; holds a configuration whose list of workers is replaced
-     * @param workerPort every worker listens there
+     * @param file the configuration file, which is overwritten
+     * @param workerPort the port of every worker
      */
     static void write(Path file, Form form, int workers, int workerPort) throws IOException {
         JsonNode configuration = JSON.readTree(file.toFile());
@@ -58,7 +58,7 @@
         return sorted.writeValueAsString(sorted.convertValue(configuration, TreeMap.class));
     }
 
-    /** A worker as discovery tells it. */
+    /** Returns a worker in the form of discovery events. */
     static String member(int index, String state, int port) {
         return String.format(
                 "{\"id\":\"%s\",\"addr\":\"127.0.0.1:%d\",\"zone\":\"hall\",\"kind\":\"kind\",\"cell\":%d,"
@@ -66,7 +66,7 @@
                 id(index), port, index % 5, state);
     }
 
-    /** Ids of the form that the operators use. */
+    /** Returns a worker id in the form that operators use. */
     private static String id(int index) {
         return String.format("s-%08x", (int) (index * 2_654_435_761L));
     }
--- a/cli/src/test/java/pearladder/cli/LargeFleetReloadTest.java
+++ b/cli/src/test/java/pearladder/cli/LargeFleetReloadTest.java
@@ -15,40 +15,40 @@
 
 class LargeFleetReloadTest extends PlatformProcessFixture {
     private static final int WORKERS = 3200;
-    /** Whole lists in the new configuration. */
-    private static final int LISTS = 8;
+    /** Number of full lists of workers in the new configuration. */
+    private static final int FULL_LISTS = 8;
 
     private static final int RELOADS = 3;
-    /** What the platform gives a router of this program. */
+    /** Memory that the platform gives a router. */
     private static final int MEMORY_MB = 152;
 
     private static final long RELOAD_PAUSE_MILLIS = 100;
-    private static final long WATCHED_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long OBSERVATION_NANOS = TimeUnit.SECONDS.toNanos(3);
     private static final long BUDGET_MILLIS = 200;
-    /** By the platform's pages a request is lost that has no answer so long after its time. */
+    /** The platform counts a request without an answer this long after its budget as lost. */
     private static final long LOST_AFTER_MILLIS = 500;
 
-    /** Shares the router's core, of which the platform gives it half. */
-    private Process otherProgram;
+    /** Uses the router's core too, as the platform gives a router half a core. */
+    private Process competingProcess;
 
     @AfterEach
-    void endOtherProgram() {
-        if (otherProgram != null) {
-            otherProgram.destroyForcibly();
+    void endCompetingProcess() {
+        if (competingProcess != null) {
+            competingProcess.destroyForcibly();
         }
     }
 
-    private static String lists(int workerPort) {
+    private static String knownWithFullLists(int workerPort) {
         List<String> members = new ArrayList<>();
         for (int i = 0; i < WORKERS; i++) {
             members.add(LargeFleetConfiguration.member(i, "in_service", workerPort));
         }
         String list = String.join(",", members);
         List<String> events = new ArrayList<>();
-        for (int number = 1; number <= LISTS; number++) {
+        for (int number = 1; number <= FULL_LISTS; number++) {
             events.add("{\"n\":" + number + ",\"members\":{\"full\":true,\"servers\":[" + list + "]}}");
         }
-        return "\"known\": {\"n\":" + LISTS + ",\"events\":[" + String.join(",", events) + "]},";
+        return "\"known\": {\"n\":" + FULL_LISTS + ",\"events\":[" + String.join(",", events) + "]},";
     }
 
     /** Sends a request and returns the milliseconds until its answer. */
@@ -75,22 +75,23 @@
                     file, Files.readString(file).replaceFirst("\"memory_mb\": [0-9]+", "\"memory_mb\": " + MEMORY_MB));
             process = start(file, Map.of(), "taskset -cp 0 $$ >/dev/null; ");
             awaitReady(port);
-            otherProgram = new ProcessBuilder("taskset", "-c", "0", "sh", "-c", "while :; do :; done").start();
-            String text = Files.readString(file).replaceFirst("\"known\": .*", lists(worker.server.getLocalPort()));
+            competingProcess = new ProcessBuilder("taskset", "-c", "0", "sh", "-c", "while :; do :; done").start();
+            String text = Files.readString(file)
+                    .replaceFirst("\"known\": .*", knownWithFullLists(worker.server.getLocalPort()));
             Files.writeString(file, text);
-            List<Long> answers = new ArrayList<>();
+            List<Long> answerTimesMillis = new ArrayList<>();
             startDaemon(this::reloadInQuickSuccession);
-            long until = System.nanoTime() + WATCHED_NANOS;
-            while (System.nanoTime() < until) {
-                answers.add(answerMillis(answers.size()));
+            long endNanos = System.nanoTime() + OBSERVATION_NANOS;
+            while (System.nanoTime() < endNanos) {
+                answerTimesMillis.add(answerMillis(answerTimesMillis.size()));
             }
-            List<Long> lost = answers.stream()
+            List<Long> lateAnswersMillis = answerTimesMillis.stream()
                     .filter(millis -> millis > BUDGET_MILLIS + LOST_AFTER_MILLIS)
                     .toList();
-            assertEquals(List.of(), lost, this::log);
-            while (!log().contains("event " + LISTS + ": the whole list of " + WORKERS)) {
+            assertEquals(List.of(), lateAnswersMillis, this::log);
+            while (!log().contains("event " + FULL_LISTS + ": the whole list of " + WORKERS)) {
                 assertTrue(process.isAlive(), this::log);
-                answerMillis(answers.size());
+                answerMillis(answerTimesMillis.size());
                 Thread.sleep(10);
             }
         }
--- a/cli/src/test/java/pearladder/cli/LargeFleetStartTest.java
+++ b/cli/src/test/java/pearladder/cli/LargeFleetStartTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 class LargeFleetStartTest extends PlatformProcessFixture {
-    /** The most workers that the platform's pages name. */
+    /** The largest fleet that the platform documents. */
     private static final int WORKERS = 3200;
-    /** Restarted routers have to be ready within it, by the platform's pages. */
+    /** Time within which the platform expects a restarted router to be ready. */
     private static final Duration READY_LIMIT = Duration.ofSeconds(10);
 
     @ParameterizedTest
--- a/cli/src/test/java/pearladder/cli/OutageDiscovery.java
+++ b/cli/src/test/java/pearladder/cli/OutageDiscovery.java
@@ -9,9 +9,10 @@
 import java.util.concurrent.Executors;
 import pearladder.cli.PlatformDiscoveryOutageTest.Outage;
 
-/** A discovery service that has nothing to tell, and can be out of reach in several ways. */
+/** A discovery service without events, with several kinds of outage. */
 final class OutageDiscovery implements AutoCloseable {
-    private static final long LONGER_THAN_THE_TEST_MILLIS = 120_000;
+    /** Longer than the test, so that a silent service never responds. */
+    private static final long SILENCE_MILLIS = 120_000;
 
     private final HttpServer server;
     private volatile Outage outage;
@@ -42,7 +43,7 @@
         String query = exchange.getRequestURI().getQuery();
         sleep(Long.parseLong(query.replaceAll(".*wait=([0-9]+).*", "$1")));
         if (outage == Outage.SILENT) {
-            sleep(LONGER_THAN_THE_TEST_MILLIS);
+            sleep(SILENCE_MILLIS);
         }
         byte[] body = ("{\"n\":" + query.replaceAll("SUB=([0-9]+).*", "$1") + ",\"events\":[]}")
                 .getBytes(StandardCharsets.UTF_8);
--- a/cli/src/test/java/pearladder/cli/PlatformDiscoveryOutageTest.java
+++ b/cli/src/test/java/pearladder/cli/PlatformDiscoveryOutageTest.java
@@ -13,38 +13,34 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Discovery was out of reach of every router for ten seconds and more. Two workers began to drain just after that and
- * stayed up; each refused what was new as full. The routers went on sending them attempts and load requests for as
- * long as discovery was away, but for the few seconds of an ejection now and then. Clients saw some of their requests
- * rejected while other workers were idle.
+ * Guards against attempts and load requests to draining workers during an outage of discovery of ten seconds or more.
+ * Two workers started to drain just after the outage began and rejected new work as full. As the age of an endpoint
+ * list was not bounded, routers kept sending to them except during short ejections, and clients had requests rejected
+ * while other workers were idle. The failing router had last confirmed its endpoint list 9012 ms before, had received
+ * no event since, and made 311 retries after rejections as full; no delivery rule had rejected an event.
  *
- * <p>Cause: nothing bounded how long an endpoint list was believed. Evidence: the failing router of this test logged
- * "endpoint list of event 1 confirmed 9012 ms ago" between attempts to the workers that drained, and 311 retries
- * after refusals as full; it had received no event since, so nothing had been lost or overwritten on the way, and the
- * delivery rules had refused nothing.
- *
- * <p>By the platform's rule an event that discovery cannot tell counts as told seven seconds after the silence began;
- * nothing new may be sent after that and the grace of the settings.
+ * <p>The platform treats an event that an outage holds back as delivered seven seconds after the outage began. No new
+ * work may be sent after that time plus the drain time of the settings.
  */
 class PlatformDiscoveryOutageTest extends PlatformProcessFixture {
-    private static final long COUNTS_AS_TOLD_MILLIS = 7000;
-    /** {@code StopSendingWithinNs} of the configuration, and the slack of all time limits. */
-    private static final long GRACE_MILLIS = 1000 + 50;
-    /** How long sends are watched after they are forbidden; longer than two ejections. */
-    private static final long WATCHED_MILLIS = 8000;
+    private static final long MAX_DELIVERY_DELAY_MILLIS = 7000;
+    /** {@code StopSendingWithinNs} of the configuration, plus the tolerance of all time limits, 50 ms. */
+    private static final long DRAIN_MILLIS = 1000 + 50;
+    /** Observation time after sends to draining workers are forbidden; longer than two ejections. */
+    private static final long OBSERVATION_MILLIS = 8000;
 
     private static final long REQUEST_PAUSE_MILLIS = 25;
     private static final int FUNCTIONS = 6;
-    private static final int MIN_SERVED_PERCENT = 90;
+    private static final int MIN_SUCCESS_PERCENT = 90;
 
     enum Outage {
-        /** The service accepts connections and says nothing. */
+        /** The service accepts connections but sends no responses. */
         SILENT,
-        /** Nobody listens at the service's address. */
+        /** The service's address refuses connections. */
         REFUSED,
         /** The service answers each poll with an error. */
         FAILING,
-        /** It is away already when the router starts, whose configuration lists the worker as in service. */
+        /** The outage begins before the router starts, whose configuration lists the worker as in service. */
         BEFORE_THE_START
     }
 
@@ -94,16 +90,16 @@
                 new byte[] {'!'});
     }
 
-    /** Sends requests one after the other; returns how many of them succeeded, in percent. */
-    private int serveUntil(long untilNanos, int firstIndex) throws Exception {
+    /** Sends requests one after the other; returns the percentage that succeeded. */
+    private int sendUntil(long untilNanos, int firstIndex) throws Exception {
         int sent = 0;
-        int served = 0;
+        int succeeded = 0;
         while (System.nanoTime() < untilNanos) {
             client.getOutputStream().write(draft(firstIndex + sent++));
-            served += receive().get(2).isNilValue() ? 1 : 0;
+            succeeded += receive().get(2).isNilValue() ? 1 : 0;
             Thread.sleep(REQUEST_PAUSE_MILLIS);
         }
-        return served * 100 / sent;
+        return succeeded * 100 / sent;
     }
 
     private static long after(long nanos, long millis) {
@@ -114,22 +110,24 @@
     @EnumSource(Outage.class)
     void drainingWorkersGetNothingNewWhileDiscoveryIsAway(Outage outage) throws Exception {
         startFleet(outage);
-        serveUntil(after(System.nanoTime(), 1500), 1000);
+        sendUntil(after(System.nanoTime(), 1500), 1000);
         long outageAt = System.nanoTime();
         if (outage != Outage.BEFORE_THE_START) {
             discovery.startOutage(outage);
         }
         workers.get(0).drain();
         workers.get(1).drain();
-        long forbiddenAt = after(outageAt, COUNTS_AS_TOLD_MILLIS + GRACE_MILLIS);
-        serveUntil(forbiddenAt, 2000);
-        // a third worker begins to drain in the middle of the outage: that counts as told at once
+        long forbiddenAt = after(outageAt, MAX_DELIVERY_DELAY_MILLIS + DRAIN_MILLIS);
+        sendUntil(forbiddenAt, 2000);
+        // a third worker starts to drain in the middle of the outage: this event counts as delivered at once
         long lateDrainAt = System.nanoTime();
         workers.get(2).drain();
-        int served = serveUntil(after(forbiddenAt, WATCHED_MILLIS), 10_000);
+        int successPercent = sendUntil(after(forbiddenAt, OBSERVATION_MILLIS), 10_000);
         assertEquals(List.of(), workers.get(0).newWorkSince(forbiddenAt), this::log);
         assertEquals(List.of(), workers.get(1).newWorkSince(forbiddenAt), this::log);
-        assertEquals(List.of(), workers.get(2).newWorkSince(after(lateDrainAt, GRACE_MILLIS)), this::log);
-        assertTrue(served >= MIN_SERVED_PERCENT, () -> served + " percent served\n" + log());
+        assertEquals(List.of(), workers.get(2).newWorkSince(after(lateDrainAt, DRAIN_MILLIS)), this::log);
+        assertTrue(
+                successPercent >= MIN_SUCCESS_PERCENT,
+                () -> successPercent + " percent of the requests succeeded\n" + log());
     }
 }
--- a/cli/src/test/java/pearladder/cli/PlatformFloodTest.java
+++ b/cli/src/test/java/pearladder/cli/PlatformFloodTest.java
@@ -22,14 +22,14 @@
 import org.msgpack.value.ArrayValue;
 
 /**
- * Clients that send hundreds of requests at once, while the router has a part of a core only: the requests of other
- * clients keep their deadlines. The process is stopped and continued by signals in turns.
+ * Guards against missed deadlines when other clients send hundreds of requests at once and the router has only part of
+ * a core. The process is paused and continued by signals to limit its CPU time.
  */
 class PlatformFloodTest extends PlatformProcessFixture {
     private static final int FLOODING_CLIENTS = 24;
-    private static final int REQUESTS_OF_EACH = 400;
+    private static final int REQUESTS_PER_CLIENT = 400;
     private static final long BUDGET_MILLIS = 200;
-    /** What the platform allows an answer beyond its budget before it counts as lost. */
+    /** The platform counts a request without an answer this long after its budget as lost. */
     private static final long LOST_AFTER_MILLIS = 500;
 
     enum Flood {
@@ -47,8 +47,8 @@
         if (throttle != null) {
             throttle.destroyForcibly();
         }
-        for (Socket flooding : floodingClients) {
-            flooding.close();
+        for (Socket floodingClient : floodingClients) {
+            floodingClient.close();
         }
     }
 
@@ -69,16 +69,16 @@
 
     private byte[] flood(Flood kind, int client) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        for (int i = 0; i < REQUESTS_OF_EACH; i++) {
-            bytes.write(request(floodId(client * REQUESTS_OF_EACH + i), new byte[0]));
+        for (int i = 0; i < REQUESTS_PER_CLIENT; i++) {
+            bytes.write(request(floodId(client * REQUESTS_PER_CLIENT + i), new byte[0]));
             if (kind == Flood.WITHDRAWN_AT_ONCE) {
-                bytes.write(interrupt(number));
+                bytes.write(interrupt(lastMessageNumber));
             }
         }
         return bytes.toByteArray();
     }
 
-    /** Leaves the router about half of a core. */
+    /** Limits the router to about half of a core. */
     private void throttle() throws IOException {
         throttle = new ProcessBuilder(
                         "/bin/sh",
@@ -116,15 +116,15 @@
             assertEquals(id, worker.receivedRequests.poll(2, TimeUnit.SECONDS), this::log);
             for (int i = 0; i < FLOODING_CLIENTS; i++) {
                 byte[] bytes = floods.get(i);
-                Socket flooding = floodingClients.get(i);
-                startDaemon(() -> flooding.getOutputStream().write(bytes));
+                Socket floodingClient = floodingClients.get(i);
+                startDaemon(() -> floodingClient.getOutputStream().write(bytes));
             }
             ArrayValue answer = receive();
             long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
-            assertFalse(answer.get(2).isNilValue(), "nothing answered the attempt");
+            assertFalse(answer.get(2).isNilValue(), "the request succeeded although no worker answered it");
             assertTrue(
                     millis < BUDGET_MILLIS + LOST_AFTER_MILLIS,
-                    () -> "answered after " + millis + " ms of " + BUDGET_MILLIS + "\n" + log());
+                    () -> "answered after " + millis + " ms; budget in ms: " + BUDGET_MILLIS + "\n" + log());
         }
     }
 
--- a/cli/src/test/java/pearladder/cli/PlatformProcessFixture.java
+++ b/cli/src/test/java/pearladder/cli/PlatformProcessFixture.java
@@ -111,7 +111,7 @@
             try {
                 work.run();
             } catch (Exception closed) {
-                // a closed socket ends it
+                // the socket was closed
             }
         });
         thread.setDaemon(true);
@@ -125,7 +125,7 @@
     Process process;
     Socket client;
     MessageUnpacker responses;
-    int number;
+    int lastMessageNumber;
 
     @AfterEach
     void end() throws IOException {
@@ -139,17 +139,17 @@
     }
 
     /**
-     * A discovery service that reports one event after the first.
+     * Starts a discovery service that reports one event after the first.
      *
-     * @param event the members of the event; null where there is none
-     * @param asked receives the query of each poll
+     * @param event the members of the event; null for none
+     * @param polls receives the query of each poll
      */
-    HttpServer startDiscovery(String event, BlockingQueue<String> asked) throws IOException {
-        return startDiscovery(event, asked, new CountDownLatch(0));
+    HttpServer startDiscovery(String event, BlockingQueue<String> polls) throws IOException {
+        return startDiscovery(event, polls, new CountDownLatch(0));
     }
 
-    /** The same with a latch that holds all responses until it is open. */
-    HttpServer startDiscovery(String event, BlockingQueue<String> asked, CountDownLatch latch) throws IOException {
+    /** Starts the same discovery service with a latch that holds back all responses until it is open. */
+    HttpServer startDiscovery(String event, BlockingQueue<String> polls, CountDownLatch latch) throws IOException {
         HttpServer discovery = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
         discovery.setExecutor(Executors.newCachedThreadPool(work -> {
             Thread thread = new Thread(work);
@@ -158,7 +158,7 @@
         }));
         discovery.createContext("/v1/events", exchange -> {
             String query = exchange.getRequestURI().getQuery();
-            asked.add(query);
+            polls.add(query);
             await(latch);
             boolean first = query.startsWith("SUB=1&") && event != null;
             byte[] answer = (first
@@ -204,14 +204,14 @@
         return Files.writeString(folder.resolve("config.json"), text);
     }
 
-    Process start(Path configuration, Map<String, String> more) throws IOException {
-        return start(configuration, more, "");
+    Process start(Path configuration, Map<String, String> environment) throws IOException {
+        return start(configuration, environment, "");
     }
 
-    /** @param before shell commands that run before the shell becomes the program */
-    Process start(Path configuration, Map<String, String> more, String before) throws IOException {
+    /** @param before shell commands to run before the shell executes the program */
+    Process start(Path configuration, Map<String, String> environment, String before) throws IOException {
         ProcessBuilder builder = DeployedRouter.command(configuration, before);
-        builder.environment().putAll(more);
+        builder.environment().putAll(environment);
         return builder.redirectErrorStream(true)
                 .redirectOutput(folder.resolve("log").toFile())
                 .start();
@@ -231,7 +231,7 @@
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             out.packArrayHeader(4)
                     .packInt(0)
-                    .packInt(++number)
+                    .packInt(++lastMessageNumber)
                     .packString(method)
                     .packArrayHeader(body == null ? 1 : 2)
                     .packMapHeader(fields.size());
@@ -296,7 +296,7 @@
         }
     }
 
-    /** Asks until the router reports that it is ready; it listens before. */
+    /** Sends health checks until the router reports that it is ready, which is after it starts to listen. */
     void awaitReady(int port) throws Exception {
         while (true) {
             connect(port);
--- a/cli/src/test/java/pearladder/cli/PlatformStallTest.java
+++ b/cli/src/test/java/pearladder/cli/PlatformStallTest.java
@@ -15,34 +15,35 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A router whose process is stopped and continued by signals, while clients send one request each and leave a moment
- * later. What a client sent before a stall must not leave for a worker after it: the client has gone meanwhile.
+ * Guards against attempts for clients that left during a stall. The router process is paused and continued by signals
+ * while each client sends one request and disconnects shortly after; the router must not send the request to a worker
+ * after a stall in which its client left.
  */
 class PlatformStallTest extends PlatformProcessFixture {
     private static final int CLIENTS = 48;
     private static final long SECONDS = 12;
-    private static final int MAX_STAY_MILLIS = 60;
-    /** By the platform's rule an attempt may begin so long after its client has left. */
-    private static final long LEFT_SLACK_MILLIS = 100;
+    private static final int MAX_CONNECTED_MILLIS = 60;
+    /** Maximum time after a client left at which the platform lets an attempt start. */
+    private static final long CANCEL_TOLERANCE_MILLIS = 100;
     /**
-     * One in so many requests may be late: a process can be stopped between its last look at the client and the system
-     * call that writes.
+     * One in this many requests may be late: a process can be paused between its last check of the client and the
+     * system call that writes.
      */
-    private static final int REQUESTS_FOR_ONE_LATE = 200;
+    private static final int REQUESTS_PER_TOLERATED_LATE_ATTEMPT = 200;
 
     private final Map<String, Long> leftAt = new ConcurrentHashMap<>();
-    private Process stalls;
+    private Process stallProcess;
 
     @AfterEach
-    void endStalls() {
-        if (stalls != null) {
-            stalls.destroyForcibly();
+    void endStallProcess() {
+        if (stallProcess != null) {
+            stallProcess.destroyForcibly();
         }
     }
 
-    /** Stops the process for 150 ms and lets it run for 40 ms, again and again. */
+    /** Repeatedly pauses the process for 150 ms and lets it run for 40 ms. */
     private void startStalls() throws IOException {
-        stalls = new ProcessBuilder(
+        stallProcess = new ProcessBuilder(
                         "/bin/sh",
                         "-c",
                         "for i in $(seq 500); do kill -STOP $0 && sleep 0.15 && kill -CONT $0 && sleep 0.04 || exit;"
@@ -58,10 +59,10 @@
                 new byte[] {'!'});
     }
 
-    private void sendAndLeave(int port, String id, byte[] request, int stayMillis) throws Exception {
+    private void sendAndDisconnect(int port, String id, byte[] request, int connectedMillis) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.getOutputStream().write(request);
-            Thread.sleep(stayMillis);
+            Thread.sleep(connectedMillis);
             leftAt.put(id, System.nanoTime());
         }
     }
@@ -72,9 +73,9 @@
             for (int i = 0; System.nanoTime() < untilNanos; i++) {
                 String id = String.format("%08x%08x", client, i);
                 try {
-                    sendAndLeave(port, id, draft(id), random.nextInt(MAX_STAY_MILLIS));
+                    sendAndDisconnect(port, id, draft(id), random.nextInt(MAX_CONNECTED_MILLIS));
                 } catch (Exception closed) {
-                    // the next one connects again
+                    // the next request opens a new connection
                 }
             }
         });
@@ -90,27 +91,29 @@
             process = start(writeConfiguration(port, discovery.port(), worker.member()), Map.of());
             awaitReady(port);
             startStalls();
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(SECONDS);
+            long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(SECONDS);
             List<Thread> clients = new ArrayList<>();
             for (int client = 0; client < CLIENTS; client++) {
-                clients.add(startClient(port, client, until));
+                clients.add(startClient(port, client, endNanos));
             }
             for (Thread thread : clients) {
                 thread.join();
             }
-            List<String> late = new ArrayList<>();
+            List<String> lateAttempts = new ArrayList<>();
             leftAt.forEach((id, left) -> worker.arrivalOf(id).ifPresent(arrival -> {
                 long millis = TimeUnit.NANOSECONDS.toMillis(arrival - left);
-                if (millis > LEFT_SLACK_MILLIS) {
-                    late.add(id + " came " + millis + " ms after its client had left");
+                if (millis > CANCEL_TOLERANCE_MILLIS) {
+                    lateAttempts.add(id + " reached a worker " + millis + " ms after its client had left");
                 }
             }));
             long attempts = worker.newWorkSince(0).size();
-            System.out.printf("stalls: %d requests, %d attempts, %d late%n", leftAt.size(), attempts, late.size());
+            System.out.printf(
+                    "stalls: %d requests, %d attempts, %d late%n", leftAt.size(), attempts, lateAttempts.size());
             assertTrue(attempts > CLIENTS, () -> attempts + " attempts\n" + log());
             assertTrue(
-                    late.size() * REQUESTS_FOR_ONE_LATE <= leftAt.size(),
-                    () -> late.size() + " of " + attempts + " attempts, " + leftAt.size() + " requests: " + late);
+                    lateAttempts.size() * REQUESTS_PER_TOLERATED_LATE_ATTEMPT <= leftAt.size(),
+                    () -> lateAttempts.size() + " of " + attempts + " attempts, " + leftAt.size() + " requests: "
+                            + lateAttempts);
         }
     }
 }
--- a/cli/src/test/java/pearladder/cli/WorkerWire.java
+++ b/cli/src/test/java/pearladder/cli/WorkerWire.java
@@ -7,30 +7,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The messages of a fake worker: RESP arrays of bulk strings. */
+/** Encodes and decodes the messages of a fake worker: RESP arrays of bulk strings. */
 public final class WorkerWire {
     private WorkerWire() {}
 
     /**
-     * Reads one command whole.
+     * Reads one complete command.
      *
-     * @throws IOException also where the connection ends
+     * @throws IOException also if the connection is closed
      */
     public static List<byte[]> readCommand(InputStream in) throws IOException {
         List<byte[]> parts = new ArrayList<>();
-        for (int left = length(in); left > 0; left--) {
+        for (int remaining = length(in); remaining > 0; remaining--) {
             parts.add(in.readNBytes(length(in)));
             readLine(in);
         }
         return parts;
     }
 
-    /** A part of a command as text. */
+    /** Returns a part of a command as text. */
     public static String text(byte[] part) {
         return new String(part, StandardCharsets.ISO_8859_1);
     }
 
-    /** A response with a body, which may be empty. */
+    /** Returns a response with a body, which may be empty. */
     public static byte[] response(String id, String word, String fields, byte[] body) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes("*4\r\n".getBytes(StandardCharsets.ISO_8859_1));
@@ -56,7 +56,7 @@
         int next;
         while ((next = in.read()) != '\n') {
             if (next < 0) {
-                throw new IOException("closed");
+                throw new IOException("connection closed");
             }
             line.append(next == '\r' ? "" : Character.toString(next));
         }
